--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -347,8 +347,8 @@
                 case Message.KeysHandedOn m -> parts.keyMessages().accept(link, m);
                 case Message.PlanWanted m -> parts.planMessages().accept(link, m);
                 case Message.PlanTold m -> parts.planMessages().accept(link, m);
-                case Message.QuotaAsk m -> parts.quotaMessages().accept(link, m);
-                case Message.QuotaTold m -> parts.quotaMessages().accept(link, m);
+                case Message.QuotaRequest m -> parts.quotaMessages().accept(link, m);
+                case Message.QuotaReply m -> parts.quotaMessages().accept(link, m);
                 default -> dispatcher.received(link, message);
             }
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -75,12 +75,12 @@
      * @param ticket joins the answer to the question
      * @param node the name of the node that asks
      * @param team the team
-     * @param held permits that the node holds
+     * @param leased permits that the node holds
      * @param returned permits that it gives back unused
      * @param needed permits for requests that wait
-     * @param wanted permits that it would like, those needed among them
+     * @param requested permits that it would like, those needed among them
      */
-    record QuotaAsk(long ticket, String node, String team, int held, int returned, int needed, int wanted)
+    record QuotaRequest(long ticket, String node, String team, int leased, int returned, int needed, int requested)
             implements Message {}
 
     /**
@@ -88,11 +88,11 @@
      *
      * @param ticket joins the answer to the question
      * @param team the team
-     * @param dealt whether the sender deals the team's permits now; else it must be asked again, or another node
+     * @param fromAllocator whether the sender deals the team's permits now; else it must be asked again, or another node
      * @param granted permits for the node that asked
-     * @param afterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
+     * @param availableAfterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
      */
-    record QuotaTold(long ticket, String team, boolean dealt, int granted, long afterMillis) implements Message {}
+    record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis) implements Message {}
 
     /**
      * What an upstream gets.
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -120,21 +120,21 @@
      */
     public void received(Link link, Message message) {
         switch (message) {
-            case Message.QuotaAsk m -> {
-                Demand demand = new Demand(m.held(), m.returned(), m.needed(), m.wanted());
+            case Message.QuotaRequest m -> {
+                Demand demand = new Demand(m.leased(), m.returned(), m.needed(), m.requested());
                 Optional<Deal> deal = dealer.deal(m.node(), m.team(), demand);
-                link.send(new Message.QuotaTold(
+                link.send(new Message.QuotaReply(
                         m.ticket(),
                         m.team(),
                         deal.isPresent(),
                         deal.map(Deal::granted).orElse(0),
                         deal.map(Deal::afterMillis).orElse(0L)));
             }
-            case Message.QuotaTold m ->
+            case Message.QuotaReply m ->
                 told(
                         m.team(),
                         m.ticket(),
-                        m.dealt() ? Optional.of(new Deal(m.granted(), m.afterMillis())) : Optional.empty());
+                        m.fromAllocator() ? Optional.of(new Deal(m.granted(), m.availableAfterMillis())) : Optional.empty());
             default -> throw new IllegalArgumentException("no message about permits: " + message);
         }
     }
@@ -167,7 +167,7 @@
             told(team, ticket, Optional.empty());
             return;
         }
-        Message.QuotaAsk question = new Message.QuotaAsk(
+        Message.QuotaRequest question = new Message.QuotaRequest(
                 ticket, parts.self(), team, demand.held(), demand.returned(), demand.needed(), demand.wanted());
         parts.courier().send(node.get(), question, () -> told(team, ticket, Optional.empty()));
     }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -114,8 +114,8 @@
             case Message.KeysHandedOn m -> p.packString(m.upstream());
             case Message.PlanWanted m -> p.packNil();
             case Message.PlanTold m -> packBytes(p, m.document());
-            case Message.QuotaAsk m -> QuotaCodec.pack(p, m);
-            case Message.QuotaTold m -> QuotaCodec.pack(p, m);
+            case Message.QuotaRequest m -> QuotaCodec.pack(p, m);
+            case Message.QuotaReply m -> QuotaCodec.pack(p, m);
         }
     }
 
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -28,9 +28,9 @@
     PLAN_WANTED,
     /** {@link Message.PlanTold}. */
     PLAN_TOLD,
-    /** {@link Message.QuotaAsk}. */
+    /** {@link Message.QuotaRequest}. */
     QUOTA_ASK,
-    /** {@link Message.QuotaTold}. */
+    /** {@link Message.QuotaReply}. */
     QUOTA_TOLD;
 
     private static final FrameType[] ALL = values();
@@ -66,8 +66,8 @@
             case Message.KeysHandedOn m -> KEYS_HANDED_ON;
             case Message.PlanWanted m -> PLAN_WANTED;
             case Message.PlanTold m -> PLAN_TOLD;
-            case Message.QuotaAsk m -> QUOTA_ASK;
-            case Message.QuotaTold m -> QUOTA_TOLD;
+            case Message.QuotaRequest m -> QUOTA_ASK;
+            case Message.QuotaReply m -> QUOTA_TOLD;
         };
     }
 }
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -58,8 +58,8 @@
             new Message.KeysHandedOn("u"),
             new Message.PlanWanted(),
             new Message.PlanTold(new byte[] {1, 2}),
-            new Message.QuotaAsk(1L << 40, "me", "team", 1, 2, 3, 4),
-            new Message.QuotaTold(1L << 40, "team", true, 5, 6));
+            new Message.QuotaRequest(1L << 40, "me", "team", 1, 2, 3, 4),
+            new Message.QuotaReply(1L << 40, "team", true, 5, 6));
 
     @Test
     void everyMessageComesBackAsItWas() {
