--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -341,10 +341,10 @@
                 case Message.Cancel m -> server.received(link, m);
                 case Message.Grant m -> server.received(link, m);
                 case Message.Inquire m -> server.received(link, m);
-                case Message.KeyAsk m -> parts.keyMessages().accept(link, m);
-                case Message.KeyTold m -> parts.keyMessages().accept(link, m);
-                case Message.KeyHandOn m -> parts.keyMessages().accept(link, m);
-                case Message.KeysHandedOn m -> parts.keyMessages().accept(link, m);
+                case Message.KeyQuery m -> parts.keyMessages().accept(link, m);
+                case Message.KeyReply m -> parts.keyMessages().accept(link, m);
+                case Message.KeyTransfer m -> parts.keyMessages().accept(link, m);
+                case Message.KeyTransferEnd m -> parts.keyMessages().accept(link, m);
                 case Message.PlanWanted m -> parts.planMessages().accept(link, m);
                 case Message.PlanTold m -> parts.planMessages().accept(link, m);
                 case Message.QuotaRequest m -> parts.quotaMessages().accept(link, m);
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -233,20 +233,20 @@
      * Asks a former owner of a key what it knows of it. A former owner that knows nothing gives the key up for good.
      *
      * @param ticket numbers the question
-     * @param asked the id of the former owner; another upstream at its address can't answer for it
-     * @param asker the id of the upstream that owns the key now
-     * @param vouch whether the former owner is also to say that nobody before it ran the key
+     * @param formerOwner the id of the former owner; another upstream at its address can't answer for it
+     * @param newOwner the id of the upstream that owns the key now
+     * @param vouchForPredecessors whether the former owner is also to say that nobody before it ran the key
      * @param key the key
      */
-    record KeyAsk(long ticket, String asked, String asker, boolean vouch, String key) implements Message {}
+    record KeyQuery(long ticket, String formerOwner, String newOwner, boolean vouchForPredecessors, String key) implements Message {}
 
     /**
-     * Answers {@link KeyAsk}, once the key's outcome is known.
+     * Answers {@link KeyQuery}, once the key's outcome is known.
      *
      * @param ticket the question
      * @param fact what the former owner knows
      */
-    record KeyTold(long ticket, KeyFact fact) implements Message {}
+    record KeyReply(long ticket, KeyFact fact) implements Message {}
 
     /**
      * Hands a settled key on, from a node that stops as planned.
@@ -255,14 +255,14 @@
      * @param fingerprint a hash of what its try asked for
      * @param outcome its outcome
      */
-    record KeyHandOn(String key, long fingerprint, KeptAnswer outcome) implements Message {}
+    record KeyTransfer(String key, long fingerprint, KeptAnswer outcome) implements Message {}
 
     /**
      * Says that an upstream has handed on all its keys.
      *
      * @param upstream the upstream's id
      */
-    record KeysHandedOn(String upstream) implements Message {}
+    record KeyTransferEnd(String upstream) implements Message {}
 
     /** Asks for the routes that the other node has. */
     record PlanWanted() implements Message {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -96,12 +96,12 @@
      */
     public void received(Link link, Message message, Optional<LocalUpstream> local) {
         switch (message) {
-            case Message.KeyAsk m -> answer(link, m, local);
-            case Message.KeyTold m ->
+            case Message.KeyQuery m -> answer(link, m, local);
+            case Message.KeyReply m ->
                 Optional.ofNullable(asked.remove(m.ticket())).ifPresent(c -> c.accept(Optional.of(m.fact())));
-            case Message.KeyHandOn m ->
+            case Message.KeyTransfer m ->
                 local.ifPresent(l -> l.keys().adopt(m.key(), m.fingerprint(), m.outcome(), timers.nanos()));
-            case Message.KeysHandedOn m -> view.handedOn(m.upstream());
+            case Message.KeyTransferEnd m -> view.handedOn(m.upstream());
             default -> throw new IllegalArgumentException(message.getClass().getSimpleName());
         }
     }
@@ -119,8 +119,8 @@
                     heir.node(),
                     link -> link.ifPresent(l -> {
                         known.forEach(k -> k.outcome()
-                                .accept(kept -> l.send(new Message.KeyHandOn(k.key(), k.fingerprint(), kept))));
-                        l.send(new Message.KeysHandedOn(local.id()));
+                                .accept(kept -> l.send(new Message.KeyTransfer(k.key(), k.fingerprint(), kept))));
+                        l.send(new Message.KeyTransferEnd(local.id()));
                     }));
         }
     }
@@ -170,31 +170,31 @@
                 () -> Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty())));
         links.acquire(question.upstream().node(), link -> {
             if (link.isPresent()) {
-                link.get().send(new Message.KeyAsk(ticket, question.upstream().id(), asker, question.vouch(), key));
+                link.get().send(new Message.KeyQuery(ticket, question.upstream().id(), asker, question.vouch(), key));
                 return;
             }
             Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty()));
         });
     }
 
-    private void answer(Link link, Message.KeyAsk ask, Optional<LocalUpstream> local) {
+    private void answer(Link link, Message.KeyQuery ask, Optional<LocalUpstream> local) {
         // An upstream that came after the one asked knows none of its keys: taken for proof, that runs a key again.
-        if (local.map(l -> !l.id().equals(ask.asked())).orElse(true)) {
-            link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Unsure()));
+        if (local.map(l -> !l.id().equals(ask.formerOwner())).orElse(true)) {
+            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Unsure()));
             return;
         }
         LocalUpstream l = local.get();
         Optional<KeyTable.Known> surrendered = l.keys().surrender(ask.key(), timers.nanos());
         if (surrendered.isEmpty()) {
-            boolean unsure = ask.vouch() && view.unsure(l, ask.asker(), ask.key());
+            boolean unsure = ask.vouchForPredecessors() && view.unsure(l, ask.newOwner(), ask.key());
             Message.KeyFact fact = unsure ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
-            link.send(new Message.KeyTold(ask.ticket(), fact));
+            link.send(new Message.KeyReply(ask.ticket(), fact));
             return;
         }
         KeyTable.Known k = surrendered.get();
         k.outcome()
                 .accept(kept ->
-                        link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
+                        link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
     }
 
     /**
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -97,21 +97,21 @@
             case Message.Spend m -> packId(p, m.id()).packLong(m.ticket());
             case Message.Grant m -> packId(p, m.id()).packLong(m.ticket()).packBoolean(m.granted());
             case Message.Inquire m -> packId(p, m.id()).packLong(m.sentTo()).packLong(m.sentClock());
-            case Message.KeyAsk m ->
+            case Message.KeyQuery m ->
                 p.packLong(m.ticket())
-                        .packString(m.asked())
-                        .packString(m.asker())
-                        .packBoolean(m.vouch())
+                        .packString(m.formerOwner())
+                        .packString(m.newOwner())
+                        .packBoolean(m.vouchForPredecessors())
                         .packString(m.key());
-            case Message.KeyTold m -> {
+            case Message.KeyReply m -> {
                 p.packLong(m.ticket());
                 KeptAnswerCodec.packFact(p, m.fact());
             }
-            case Message.KeyHandOn m -> {
+            case Message.KeyTransfer m -> {
                 p.packString(m.key()).packLong(m.fingerprint());
                 KeptAnswerCodec.pack(p, m.outcome());
             }
-            case Message.KeysHandedOn m -> p.packString(m.upstream());
+            case Message.KeyTransferEnd m -> p.packString(m.upstream());
             case Message.PlanWanted m -> p.packNil();
             case Message.PlanTold m -> packBytes(p, m.document());
             case Message.QuotaRequest m -> QuotaCodec.pack(p, m);
@@ -135,11 +135,11 @@
             case GRANT -> new Message.Grant(unpackId(u), u.unpackLong(), u.unpackBoolean());
             case INQUIRE -> new Message.Inquire(unpackId(u), u.unpackLong(), u.unpackLong());
             case KEY_ASK ->
-                new Message.KeyAsk(
+                new Message.KeyQuery(
                         u.unpackLong(), u.unpackString(), u.unpackString(), u.unpackBoolean(), u.unpackString());
-            case KEY_TOLD -> new Message.KeyTold(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
-            case KEY_HAND_ON -> new Message.KeyHandOn(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
-            case KEYS_HANDED_ON -> new Message.KeysHandedOn(u.unpackString());
+            case KEY_TOLD -> new Message.KeyReply(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
+            case KEY_HAND_ON -> new Message.KeyTransfer(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
+            case KEYS_HANDED_ON -> new Message.KeyTransferEnd(u.unpackString());
             case PLAN_WANTED -> {
                 u.unpackNil();
                 yield new Message.PlanWanted();
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -60,10 +60,10 @@
             case Message.Spend m -> SPEND;
             case Message.Grant m -> GRANT;
             case Message.Inquire m -> INQUIRE;
-            case Message.KeyAsk m -> KEY_ASK;
-            case Message.KeyTold m -> KEY_TOLD;
-            case Message.KeyHandOn m -> KEY_HAND_ON;
-            case Message.KeysHandedOn m -> KEYS_HANDED_ON;
+            case Message.KeyQuery m -> KEY_ASK;
+            case Message.KeyReply m -> KEY_TOLD;
+            case Message.KeyTransfer m -> KEY_HAND_ON;
+            case Message.KeyTransferEnd m -> KEYS_HANDED_ON;
             case Message.PlanWanted m -> PLAN_WANTED;
             case Message.PlanTold m -> PLAN_TOLD;
             case Message.QuotaRequest m -> QUOTA_ASK;
