--- a/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
@@ -24,14 +24,14 @@
 
     /** Asks a node for its routes. */
     void fetch(Links links, Endpoint node) {
-        links.acquire(node, link -> link.ifPresent(l -> l.send(new Message.PlanWanted())));
+        links.acquire(node, link -> link.ifPresent(l -> l.send(new Message.PlanRequest())));
     }
 
     void received(Link link, Message message) {
-        if (message instanceof Message.PlanTold told) {
+        if (message instanceof Message.PlanReply told) {
             plans.offer(told.document(), SOURCE);
             return;
         }
-        plans.document().ifPresent(d -> link.send(new Message.PlanTold(d.bytes())));
+        plans.document().ifPresent(d -> link.send(new Message.PlanReply(d.bytes())));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -345,8 +345,8 @@
                 case Message.KeyReply m -> parts.keyMessages().accept(link, m);
                 case Message.KeyTransfer m -> parts.keyMessages().accept(link, m);
                 case Message.KeyTransferEnd m -> parts.keyMessages().accept(link, m);
-                case Message.PlanWanted m -> parts.planMessages().accept(link, m);
-                case Message.PlanTold m -> parts.planMessages().accept(link, m);
+                case Message.PlanRequest m -> parts.planMessages().accept(link, m);
+                case Message.PlanReply m -> parts.planMessages().accept(link, m);
                 case Message.QuotaRequest m -> parts.quotaMessages().accept(link, m);
                 case Message.QuotaReply m -> parts.quotaMessages().accept(link, m);
                 default -> dispatcher.received(link, message);
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -265,14 +265,14 @@
     record KeyTransferEnd(String upstream) implements Message {}
 
     /** Asks for the routes that the other node has. */
-    record PlanWanted() implements Message {}
+    record PlanRequest() implements Message {}
 
     /**
      * Tells the routes that a node has in force, as their operator wrote them.
      *
      * @param document the document
      */
-    record PlanTold(byte[] document) implements Message {}
+    record PlanReply(byte[] document) implements Message {}
 
     /**
      * What a former owner knows of a key.
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -112,8 +112,8 @@
                 KeptAnswerCodec.pack(p, m.outcome());
             }
             case Message.KeyTransferEnd m -> p.packString(m.upstream());
-            case Message.PlanWanted m -> p.packNil();
-            case Message.PlanTold m -> packBytes(p, m.document());
+            case Message.PlanRequest m -> p.packNil();
+            case Message.PlanReply m -> packBytes(p, m.document());
             case Message.QuotaRequest m -> QuotaCodec.pack(p, m);
             case Message.QuotaReply m -> QuotaCodec.pack(p, m);
         }
@@ -142,9 +142,9 @@
             case KEYS_HANDED_ON -> new Message.KeyTransferEnd(u.unpackString());
             case PLAN_WANTED -> {
                 u.unpackNil();
-                yield new Message.PlanWanted();
+                yield new Message.PlanRequest();
             }
-            case PLAN_TOLD -> new Message.PlanTold(unpackBytes(u));
+            case PLAN_TOLD -> new Message.PlanReply(unpackBytes(u));
             case QUOTA_ASK -> QuotaCodec.unpackAsk(u);
             case QUOTA_TOLD -> QuotaCodec.unpackTold(u);
         };
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -24,9 +24,9 @@
     KEY_TOLD,
     KEY_HAND_ON,
     KEYS_HANDED_ON,
-    /** {@link Message.PlanWanted}. */
+    /** {@link Message.PlanRequest}. */
     PLAN_WANTED,
-    /** {@link Message.PlanTold}. */
+    /** {@link Message.PlanReply}. */
     PLAN_TOLD,
     /** {@link Message.QuotaRequest}. */
     QUOTA_ASK,
@@ -64,8 +64,8 @@
             case Message.KeyReply m -> KEY_TOLD;
             case Message.KeyTransfer m -> KEY_HAND_ON;
             case Message.KeyTransferEnd m -> KEYS_HANDED_ON;
-            case Message.PlanWanted m -> PLAN_WANTED;
-            case Message.PlanTold m -> PLAN_TOLD;
+            case Message.PlanRequest m -> PLAN_WANTED;
+            case Message.PlanReply m -> PLAN_TOLD;
             case Message.QuotaRequest m -> QUOTA_ASK;
             case Message.QuotaReply m -> QUOTA_TOLD;
         };
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -56,8 +56,8 @@
             new Message.KeyReply(1, new Message.KeyFact.Known(2, new KeptAnswer.Whole(201, HEADERS, new byte[] {4}))),
             new Message.KeyTransfer("k", 2, new KeptAnswer.Lost(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
             new Message.KeyTransferEnd("u"),
-            new Message.PlanWanted(),
-            new Message.PlanTold(new byte[] {1, 2}),
+            new Message.PlanRequest(),
+            new Message.PlanReply(new byte[] {1, 2}),
             new Message.QuotaRequest(1L << 40, "me", "team", 1, 2, 3, 4),
             new Message.QuotaReply(1L << 40, "team", true, 5, 6));
 
