--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -279,10 +279,10 @@
      */
     sealed interface KeyFact {
         /** It never ran the key and won't any more. */
-        record Unknown() implements KeyFact {}
+        record NeverRan() implements KeyFact {}
 
         /** It can't tell, since it was itself not sure of the owners before it. */
-        record Unsure() implements KeyFact {}
+        record Undetermined() implements KeyFact {}
 
         /**
          * It ran the key.
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -153,8 +153,8 @@
             return false;
         }
         return switch (fact.get()) {
-            case Message.KeyFact.Unknown u -> true;
-            case Message.KeyFact.Unsure u -> false;
+            case Message.KeyFact.NeverRan u -> true;
+            case Message.KeyFact.Undetermined u -> false;
             case Message.KeyFact.Known k -> {
                 local.keys().adopt(key, k.fingerprint(), k.outcome(), timers.nanos());
                 yield true;
@@ -180,14 +180,14 @@
     private void answer(Link link, Message.KeyQuery ask, Optional<LocalUpstream> local) {
         // An upstream that came after the one asked knows none of its keys: taken for proof, that runs a key again.
         if (local.map(l -> !l.id().equals(ask.formerOwner())).orElse(true)) {
-            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Unsure()));
+            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Undetermined()));
             return;
         }
         LocalUpstream l = local.get();
         Optional<KeyTable.Known> surrendered = l.keys().surrender(ask.key(), timers.nanos());
         if (surrendered.isEmpty()) {
             boolean unsure = ask.vouchForPredecessors() && view.unsure(l, ask.newOwner(), ask.key());
-            Message.KeyFact fact = unsure ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
+            Message.KeyFact fact = unsure ? new Message.KeyFact.Undetermined() : new Message.KeyFact.NeverRan();
             link.send(new Message.KeyReply(ask.ticket(), fact));
             return;
         }
--- a/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
@@ -44,8 +44,8 @@
 
     static void packFact(MessagePacker p, Message.KeyFact fact) throws IOException {
         switch (fact) {
-            case Message.KeyFact.Unknown f -> p.packByte(UNKNOWN);
-            case Message.KeyFact.Unsure f -> p.packByte(UNSURE);
+            case Message.KeyFact.NeverRan f -> p.packByte(UNKNOWN);
+            case Message.KeyFact.Undetermined f -> p.packByte(UNSURE);
             case Message.KeyFact.Known f -> {
                 p.packByte(KNOWN).packLong(f.fingerprint());
                 pack(p, f.outcome());
@@ -56,8 +56,8 @@
     static Message.KeyFact unpackFact(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case UNKNOWN -> new Message.KeyFact.Unknown();
-            case UNSURE -> new Message.KeyFact.Unsure();
+            case UNKNOWN -> new Message.KeyFact.NeverRan();
+            case UNSURE -> new Message.KeyFact.Undetermined();
             case KNOWN -> new Message.KeyFact.Known(u.unpackLong(), unpack(u));
             default -> throw FrameCodec.malformed("key fact " + kind);
         };
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -52,7 +52,7 @@
             new Message.Grant(ID, 6, false),
             new Message.Inquire(ID, 3, 4),
             new Message.KeyQuery(1, "you", "me", true, "k"),
-            new Message.KeyReply(1, new Message.KeyFact.Unsure()),
+            new Message.KeyReply(1, new Message.KeyFact.Undetermined()),
             new Message.KeyReply(1, new Message.KeyFact.Known(2, new KeptAnswer.Whole(201, HEADERS, new byte[] {4}))),
             new Message.KeyTransfer("k", 2, new KeptAnswer.Lost(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
             new Message.KeyTransferEnd("u"),
