--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -122,8 +122,8 @@
     void learn(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
         request.observer().leadsTo(request.service());
-        if (!report.below().service().isEmpty()) {
-            request.observer().leadsTo(report.below().service());
+        if (!report.deeperLevel().service().isEmpty()) {
+            request.observer().leadsTo(report.deeperLevel().service());
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -125,16 +125,16 @@
      * @param level the admission level of the node itself
      * @param directLevel the same for requests that come from callers and not from another upstream
      * @param draining whether the upstream is leaving
-     * @param below what it knows of the services that were called for the answer
+     * @param deeperLevel what it knows of the services that were called for the answer
      */
-    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, Below below) {
+    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, DeeperLevel deeperLevel) {
         /**
          * Returns the level of the call's path from the node down.
          *
          * @return the rank below which calls are refused
          */
         public int pathLevel() {
-            return Math.max(level, below.level());
+            return Math.max(level, deeperLevel.level());
         }
     }
 
@@ -145,9 +145,9 @@
      * @param level the rank below which it refuses calls
      * @param ageMillis how long ago that was so, in milliseconds
      */
-    record Below(String service, int level, int ageMillis) {
+    record DeeperLevel(String service, int level, int ageMillis) {
         /** No service was called. */
-        public static final Below NOTHING = new Below("", 0, 0);
+        public static final DeeperLevel NONE = new DeeperLevel("", 0, 0);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -195,8 +195,8 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.Below below = context.map(c -> parts.levels.highest(c.services(), parts.timers.nanos()))
-                .orElse(Message.Below.NOTHING);
+        Message.DeeperLevel below = context.map(c -> parts.levels.highest(c.services(), parts.timers.nanos()))
+                .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
             return new Message.Report(0, 0, 0, 0, false, below);
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -37,7 +37,7 @@
 final class DispatcherTest {
     private static final long MILLI = 1_000_000L;
     private static final Place PLACE = new Place("r", "d");
-    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.Below.NOTHING);
+    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.DeeperLevel.NONE);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final Counters counters = Counters.create();
@@ -180,7 +180,7 @@
     void givesUpAtOnceWhenThePathBelowShedsThisRank() {
         send(true, 2);
         Message.Report full =
-                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.Below.NOTHING);
+                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.DeeperLevel.NONE);
         for (int i = 0; i < 2; i++) {
             dispatcher.received(link, new Message.Refused(calls().get(i).id(), notRun(RefusalReason.SHED_LEVEL), full));
         }
@@ -197,7 +197,7 @@
         send(false, 0);
         String first = calls().getFirst().target().upstream();
         Message.Report full =
-                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.Below.NOTHING);
+                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.DeeperLevel.NONE);
         dispatcher.received(link, new Message.Refused(calls().getFirst().id(), notRun(RefusalReason.SHED_LEVEL), full));
         assertEquals(2, calls().size());
         assertNotEquals(first, calls().get(1).target().upstream());
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -32,7 +32,7 @@
 final class RefusedThenLostTest {
     private static final long MILLI = 1_000_000L;
     private static final Place PLACE = new Place("r", "d");
-    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.Below.NOTHING);
+    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.DeeperLevel.NONE);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final List<String> got = new ArrayList<>();
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
@@ -140,7 +140,7 @@
             private void finish(Call call) {
                 inFlight--;
                 Message.Report report =
-                        new Message.Report(inFlight + queue.size(), PLACES, 0, 0, false, Message.Below.NOTHING);
+                        new Message.Report(inFlight + queue.size(), PLACES, 0, 0, false, Message.DeeperLevel.NONE);
                 after(call.trip(), () -> arrive(call, report));
                 if (!queue.isEmpty()) {
                     take(queue.poll());
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -79,7 +79,7 @@
             return;
         }
         to.ended();
-        to.reported("", new Message.Report(0, PLACES, 0, 0, false, Message.Below.NOTHING), now);
+        to.reported("", new Message.Report(0, PLACES, 0, 0, false, Message.DeeperLevel.NONE), now);
         if (noted) {
             to.shed(now);
         }
@@ -94,7 +94,7 @@
     private record Answer(long atNanos, Candidate from) {
         void arrive() {
             from.ended();
-            from.reported("", new Message.Report(PLACES / 4, PLACES, 0, 0, false, Message.Below.NOTHING), atNanos);
+            from.reported("", new Message.Report(PLACES / 4, PLACES, 0, 0, false, Message.DeeperLevel.NONE), atNanos);
             from.succeeded(SERVICE_NANOS);
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -221,9 +221,9 @@
                 .packInt(r.level())
                 .packInt(r.directLevel())
                 .packBoolean(r.draining());
-        p.packString(r.below().service())
-                .packInt(r.below().level())
-                .packInt(r.below().ageMillis());
+        p.packString(r.deeperLevel().service())
+                .packInt(r.deeperLevel().level())
+                .packInt(r.deeperLevel().ageMillis());
     }
 
     private static Message.Report unpackReport(MessageUnpacker u) throws IOException {
@@ -231,8 +231,8 @@
                 u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackBelow(u));
     }
 
-    private static Message.Below unpackBelow(MessageUnpacker u) throws IOException {
-        return new Message.Below(u.unpackString(), u.unpackInt(), u.unpackInt());
+    private static Message.DeeperLevel unpackBelow(MessageUnpacker u) throws IOException {
+        return new Message.DeeperLevel(u.unpackString(), u.unpackInt(), u.unpackInt());
     }
 
     static void packBytes(MessagePacker p, byte[] bytes) throws IOException {
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -23,7 +23,7 @@
 /** Tests {@link FrameCodec}, with bytes changed at random too. */
 final class FrameCodecTest {
     private static final CallId ID = new CallId(-3, 9);
-    private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.Below("deep", 4, 5));
+    private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.DeeperLevel("deep", 4, 5));
     private static final List<HeaderField> HEADERS = List.of(new HeaderField("a", "b"), new HeaderField("ü", ""));
     private static final int CHANGES = 20_000;
 
