--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -196,7 +196,7 @@
         }
         if (RetryRules.shed(m.status())) {
             attempt.candidate().shed(now);
-        } else if (!m.settled()) {
+        } else if (!m.retriesExhausted()) {
             attempt.failed(parts);
         }
         if (!RetryRules.retryable(request, m, dispatcher.settings().perHop())) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -156,10 +156,10 @@
      * @param id the attempt
      * @param status the HTTP status
      * @param headers the header fields
-     * @param settled whether a failure was already retried as far as it may be, deeper in the chain
+     * @param retriesExhausted whether a failure was already retried as far as it may be, deeper in the chain
      * @param report the state of the answering node
      */
-    record Head(CallId id, int status, List<HeaderField> headers, boolean settled, Report report) implements Message {}
+    record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report) implements Message {}
 
     /**
      * A fragment of an answer's body.
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -86,7 +86,7 @@
         if (!complete || !keeping) {
             return false;
         }
-        head = new Message.Head(id, head.status(), head.headers(), head.settled(), report.get());
+        head = new Message.Head(id, head.status(), head.headers(), head.retriesExhausted(), report.get());
         sendKept(link);
         return true;
     }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -79,7 +79,7 @@
             case Message.Head m -> {
                 packId(p, m.id()).packInt(m.status());
                 packHeaders(p, m.headers());
-                p.packBoolean(m.settled());
+                p.packBoolean(m.retriesExhausted());
                 packReport(p, m.report());
             }
             case Message.Data m -> {
