--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -224,10 +224,10 @@
      * reaches back to when it was sent, seals its id.
      *
      * @param id the attempt
-     * @param sentTo the incarnation of the process that it was sent to
-     * @param sentClock the newest clock which that process had lent when it was sent, in its nanoseconds
+     * @param targetIncarnation the incarnation of the process that it was sent to
+     * @param targetClock the newest clock which that process had lent when it was sent, in its nanoseconds
      */
-    record Inquire(CallId id, long sentTo, long sentClock) implements Message {}
+    record Inquire(CallId id, long targetIncarnation, long targetClock) implements Message {}
 
     /**
      * Asks a former owner of a key what it knows of it. A former owner that knows nothing gives the key up for good.
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -303,13 +303,13 @@
      */
     private boolean neverRuns(Message.Inquire inquiry) {
         CallId id = inquiry.id();
-        if (inquiry.sentTo() != parts.incarnation) {
+        if (inquiry.targetIncarnation() != parts.incarnation) {
             return false;
         }
         if (seen.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seen.claim(id) && seen.reachesBackTo(inquiry.sentClock());
+        boolean neverArrived = seen.claim(id) && seen.reachesBackTo(inquiry.targetClock());
         if (neverArrived) {
             seen.neverRuns(id);
         }
