--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -62,7 +62,7 @@
             sentTo = newLink.peerIncarnation();
             sentClock = newLink.peerClock();
         }
-        newLink.awaiting(1);
+        newLink.adjustAwaited(1);
         awaited = true;
         this.link = newLink;
     }
@@ -70,7 +70,7 @@
     /** Stops waiting on the link, which stays known. */
     void unbind() {
         if (link != null && awaited) {
-            link.awaiting(-1);
+            link.adjustAwaited(-1);
         }
         awaited = false;
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -235,7 +235,7 @@
         }
 
         @Override
-        public void awaiting(int more) {
+        public void adjustAwaited(int more) {
             // Nobody watches the link.
         }
     }
