--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -107,7 +107,7 @@
      *
      * @return their number
      */
-    public int underWay() {
+    public int inFlight() {
         return attempts.size();
     }
 
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -205,7 +205,7 @@
 
     private boolean busy() {
         return core.engine().server().unfinished() > 0
-                || core.engine().dispatcher().underWay() > 0;
+                || core.engine().dispatcher().inFlight() > 0;
     }
 
     private void breached(Breach breach) {
