--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -169,7 +169,7 @@
         if (link.get().closed()) {
             lost(attempt);
         }
-        long patience = dispatcher.settings().tryNanos();
+        long patience = dispatcher.settings().attemptTimeoutNanos();
         if (patience > 0 && request.idempotent()) {
             parts.timers().after(patience, () -> serial.run(() -> tryTimedOut(attempt)));
         }
@@ -199,7 +199,7 @@
         } else if (!m.retriesExhausted()) {
             attempt.failed(parts);
         }
-        if (!RetryRules.retryable(request, m, dispatcher.settings().perHop())) {
+        if (!RetryRules.retryable(request, m, dispatcher.settings().retryPerHop())) {
             request.observer().childFailed();
             commit(attempt, m);
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -136,7 +136,7 @@
 
     /** The rank that a request is routed by; a call inside a chain passes every level if the settings say so. */
     int rank(Request request) {
-        boolean exempt = settings.callsExempt() && request.depth() > 0;
+        boolean exempt = settings.nestedCallsExempt() && request.depth() > 0;
         if (exempt) {
             return Importance.RANKS;
         }
@@ -179,7 +179,7 @@
 
     RatioBudget ratio(Request request) {
         return ratios.computeIfAbsent(
-                new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.ratio(), settings.burst()));
+                new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.retryRatio(), settings.maxSavedRetries()));
     }
 
     private static Optional<CallId> idOf(Message message) {
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -118,7 +118,7 @@
                 (int) ini.number("policy", "limit-least", 1, LIMIT_MOST, l.minimum()),
                 (int) ini.number("policy", "limit-most", 1, LIMIT_MOST, l.maximum()));
         DispatchSettings d = base.dispatch();
-        long percent = ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.ratio() * PERCENT));
+        long percent = ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.retryRatio() * PERCENT));
         long after = ini.number("policy", "retry-after-ms", 0, RETRY_AFTER_MOST_MILLIS, d.retryAfterMillis());
         GateSettings gate = base.gate();
         return new Policy(
@@ -133,11 +133,11 @@
                 limits,
                 new DispatchSettings(
                         percent / PERCENT,
-                        d.burst(),
-                        d.perHop(),
-                        d.tryNanos(),
-                        d.everyRetryCounts(),
-                        d.callsExempt(),
+                        d.maxSavedRetries(),
+                        d.retryPerHop(),
+                        d.attemptTimeoutNanos(),
+                        d.ratioCoversLostConnections(),
+                        d.nestedCallsExempt(),
                         after),
                 base.serve(),
                 base.link());
