--- a/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
+++ b/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.admission.FixedLimit;
 import org.verbenadyke.kernel.admission.Gate;
 import org.verbenadyke.kernel.admission.GateSettings;
-import org.verbenadyke.kernel.admission.Waiting;
+import org.verbenadyke.kernel.admission.WaitingCall;
 import org.verbenadyke.kernel.budget.RootBudget;
 import org.verbenadyke.kernel.call.CallId;
 import org.verbenadyke.kernel.call.HeaderField;
@@ -58,7 +58,7 @@
     private Router router;
     private RouteQuery query;
     private Gate gate;
-    private Waiting call;
+    private WaitingCall call;
     private SeenCalls seen;
     private Message.Call message;
     private byte[] frame;
@@ -160,7 +160,7 @@
     /**
      * A call that is always admitted.
      */
-    private static final class Admitted implements Waiting {
+    private static final class Admitted implements WaitingCall {
         @Override
         public Importance importance() {
             return Importance.NORMAL;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.admission.ConcurrencyLimit;
-import org.verbenadyke.kernel.admission.Waiting;
+import org.verbenadyke.kernel.admission.WaitingCall;
 import org.verbenadyke.kernel.call.CallId;
 import org.verbenadyke.kernel.call.HeaderField;
 import org.verbenadyke.kernel.call.Importance;
@@ -21,7 +21,7 @@
 /**
  * One call received from a node above. Everything happens inside a serial runner; only the link is read from elsewhere.
  */
-final class IncomingCall implements Waiting, UpstreamPort.Listener, KeyedTry.Host, SuspectLane.Suspected {
+final class IncomingCall implements WaitingCall, UpstreamPort.Listener, KeyedTry.Host, SuspectLane.Suspected {
     private static final int UNAVAILABLE = 503;
 
     private final CallServer server;
