--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
@@ -87,7 +87,7 @@
         all.addAll(queue);
         active.clear();
         queue.clear();
-        all.forEach(w -> w.tell(w.listener::upstreamEnded));
+        all.forEach(w -> w.tell(w.listener::upstreamCrashed));
     }
 
     boolean killed() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -148,7 +148,7 @@
      * the others.
      */
     void ended(Dispatcher.Parts parts, Request request) {
-        parts.quarantine().ended(request.content(), candidate.upstream().id());
+        parts.quarantine().recordCrash(request.content(), candidate.upstream().id());
         failed(parts);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -190,7 +190,7 @@
             case GossipMessage.Probe m -> detector.probe(m);
             case GossipMessage.ProbeAck m -> detector.answered(m.ticket());
             case GossipMessage.Buckets m -> differences.exchange(from, m);
-            case GossipMessage.Ends m -> ends.take(m);
+            case GossipMessage.CrashReports m -> ends.take(m);
             case GossipMessage.Records m -> m.records().forEach(this::learn);
             case GossipMessage.ConfigWanted m ->
                 listener.config().ifPresent(s -> send(from, new GossipMessage.ConfigNews(s)));
@@ -272,7 +272,7 @@
             listener.newerPlanAt(from);
         }
         differences.seen(from, theirs.digest());
-        ends.seen(from, theirs.endsFingerprint());
+        ends.seen(from, theirs.crashesFingerprint());
     }
 
     private void send(Endpoint to, GossipMessage message) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.verbenadyke.kernel.config.ConfigState;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
@@ -83,7 +83,7 @@
      * @param from the sender's name
      * @param reports what the sender knows, or a part of it
      */
-    record Ends(String from, List<EndReport> reports) implements GossipMessage {}
+    record CrashReports(String from, List<CrashReport> reports) implements GossipMessage {}
 
     /**
      * What a node knows, in short.
@@ -92,7 +92,7 @@
      * @param configVersion the version of its configuration
      * @param planVersion the version of its routes, -1 if it has none
      * @param followedMillis how long ago some node was known to read the operators' record, in milliseconds
-     * @param endsFingerprint a hash of what it knows of upstreams that ended
+     * @param crashesFingerprint a hash of what it knows of upstreams that ended
      */
-    record View(long digest, long configVersion, long planVersion, int followedMillis, long endsFingerprint) {}
+    record View(long digest, long configVersion, long planVersion, int followedMillis, long crashesFingerprint) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -45,7 +45,7 @@
     /** How many suspects have each path, so that the bodies of most requests needn't be read. */
     private final Map<Integer, Integer> targets = new ConcurrentHashMap<>();
 
-    private volatile Consumer<UpstreamEnd> news = end -> {};
+    private volatile Consumer<UpstreamCrash> news = end -> {};
     private volatile Consumer<RequestDigest> heldNews = request -> {};
     private volatile boolean changed = true;
     private volatile long fingerprint;
@@ -89,7 +89,7 @@
      *
      * @param listener takes each new end, and each that has been cleared
      */
-    public void onNews(Consumer<UpstreamEnd> listener) {
+    public void onNews(Consumer<UpstreamCrash> listener) {
         news = listener;
     }
 
@@ -116,7 +116,7 @@
                 .map(s -> new HeldRequest(
                         request,
                         s.ends().stream()
-                                .map(e -> new HeldRequest.End(
+                                .map(e -> new HeldRequest.Crash(
                                         e.upstream(), e.cleared(), wall - (now - e.atNanos()) / NANOS_PER_MILLI))
                                 .toList()));
     }
@@ -141,9 +141,9 @@
     public void restore(HeldRequest held) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
-        for (HeldRequest.End e : held.ends()) {
+        for (HeldRequest.Crash e : held.crashes()) {
             long age = Math.max(0, wall - e.atMillis()) * NANOS_PER_MILLI;
-            hear(new UpstreamEnd(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
+            hear(new UpstreamCrash(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
         }
     }
 
@@ -153,8 +153,8 @@
      * @param content the request
      * @param upstream the id of the upstream
      */
-    public void ended(Message.Content content, String upstream) {
-        ended(RequestDigest.of(content), upstream);
+    public void recordCrash(Message.Content content, String upstream) {
+        recordCrash(RequestDigest.of(content), upstream);
     }
 
     /**
@@ -163,8 +163,8 @@
      * @param request the request
      * @param upstream the id of the upstream
      */
-    public void ended(RequestDigest request, String upstream) {
-        hear(new UpstreamEnd(request, upstream, false, timers.nanos(), ""));
+    public void recordCrash(RequestDigest request, String upstream) {
+        hear(new UpstreamCrash(request, upstream, false, timers.nanos(), ""));
     }
 
     /**
@@ -190,7 +190,7 @@
      *
      * @param end the end
      */
-    public void hear(UpstreamEnd end) {
+    public void hear(UpstreamCrash end) {
         if (timers.nanos() - end.atNanos() > settings.keptNanos()) {
             return;
         }
@@ -283,7 +283,7 @@
      * @param most how many ends at most
      * @return the ends
      */
-    public List<UpstreamEnd> ends(int most) {
+    public List<UpstreamCrash> crashes(int most) {
         return suspects.values().stream()
                 .sorted(Comparator.comparingInt(Suspect::standing)
                         .thenComparingLong(Suspect::newestNanos)
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -235,7 +235,7 @@
         String id = call.target().upstream();
         RequestDigest digest = RequestDigest.of(call.content());
         parts.decisions.note(new Decision.EndedUnder(call.request(), id, digest));
-        parts.quarantine.ended(digest, id);
+        parts.quarantine.recordCrash(digest, id);
         return RefusalReason.UPSTREAM_ENDED;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void upstreamEnded() {
+    public void upstreamCrashed() {
         whileHanded(() -> {
             Refusal refusal = Refusal.mayHaveRun(server.noteEnded(call, local));
             fail(refusal, ConcurrencyLimit.Outcome.IGNORED);
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -56,7 +56,7 @@
 
     @Test
     void isRefusedAsNotRunWhenItComesAgain() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(BAD);
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -64,7 +64,7 @@
 
     @Test
     void isStoppedAtTheUpstreamWhereTheEntryDoesNotKnowYet() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(unknowing(), BAD, "");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -73,7 +73,7 @@
     @Test
     void aFilingWithAKeyIsStoppedThereToo() {
         Message.Content filing = content("POST", "/bad");
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(filing, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(filing, s.host()));
         send(unknowing(), filing, "key-1");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -82,7 +82,7 @@
     /** What needs the call fails with it, and nobody above tries that again. */
     @Test
     void aCallInsideAChainIsHeldBackAndItsFailureIsFinal() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         Endpoint above = new Endpoint("10.0.1.1", 1);
         Engine caller = engine(above.host(), 3, quarantine);
         route(caller);
@@ -109,7 +109,7 @@
         end(runs.getLast());
         assertEquals(1, runs.size());
         assertEquals(List.of("refused MAY_HAVE_RUN UPSTREAM_ENDED 0"), got);
-        assertEquals(1, quarantine.ends(10).size());
+        assertEquals(1, quarantine.crashes(10).size());
     }
 
     @Test
@@ -119,13 +119,13 @@
         end(runs.getLast());
         assertEquals(
                 List.of(),
-                quarantine.ends(10).stream().filter(e -> e.toldBy().isEmpty()).toList());
+                quarantine.crashes(10).stream().filter(e -> e.reportedBy().isEmpty()).toList());
     }
 
     @Test
     void runsAloneAfterTwoEndsAndIsFreeOnceAnswered() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
@@ -142,8 +142,8 @@
     /** It waits beside the queue, which is emptied when an upstream begins to leave. */
     @Test
     void isNotHandedToAnUpstreamThatBeganToLeaveWhileItWaited() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         Endpoint only = SERVERS.getFirst();
         entry.router().update(List.of(new Upstream(only.host(), "s", only, Engines.PLACE)));
         send(BAD);
@@ -158,8 +158,8 @@
 
     @Test
     void isHeldBackThoughItWaitedWhileUpstreamsEndedElsewhere() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
@@ -211,7 +211,7 @@
     }
 
     private void end(Endpoint server) {
-        running.get(server).upstreamEnded();
+        running.get(server).upstreamCrashed();
     }
 
     private static Message.Content content(String method, String path) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -38,11 +38,11 @@
 
     @Test
     void holdsARequestBackFromTheThirdEndOn() {
-        quarantine.ended(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
         assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u2");
+        quarantine.recordCrash(BAD, "u2");
         assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u3");
+        quarantine.recordCrash(BAD, "u3");
         assertHeld(20, quarantine.atUpstream(BAD));
         assertHeld(20, quarantine.atEntry(BAD));
         assertEquals(1, counters.events(Event.QUARANTINE_BEGUN));
@@ -57,28 +57,28 @@
 
     @Test
     void countsAnEndOnceWhoeverTellsOfItAndPassesItOnOnce() {
-        List<UpstreamEnd> news = new ArrayList<>();
+        List<UpstreamCrash> news = new ArrayList<>();
         quarantine.onNews(news::add);
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
         for (String teller : List.of("n1", "n2", "n3")) {
-            quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u1", false, clock.nanos(), teller));
+            quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), teller));
         }
         assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
         assertEquals(1, news.size());
-        quarantine.ended(BAD, "u2");
+        quarantine.recordCrash(BAD, "u2");
         assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
     }
 
     @Test
     void takesAnAnswerForProofThatTheRequestWasNotTheCause() {
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u2");
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u2");
         quarantine.answered(SAME_PATH);
         assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
         quarantine.answered(BAD);
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
-        quarantine.ended(BAD, "u3");
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
+        quarantine.recordCrash(BAD, "u3");
         assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
     }
 
@@ -96,13 +96,13 @@
         assertEquals(Optional.empty(), quarantine.trialUpstream(SAME_PATH, "s"));
         clock.advance(SECOND);
         assertHeld(1, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u4");
+        quarantine.recordCrash(BAD, "u4");
         assertHeld(80, quarantine.atEntry(BAD));
         clock.advance(80 * SECOND);
-        quarantine.ended(BAD, "u5");
+        quarantine.recordCrash(BAD, "u5");
         assertHeld(320, quarantine.atEntry(BAD));
         clock.advance(320 * SECOND);
-        quarantine.ended(BAD, "u6");
+        quarantine.recordCrash(BAD, "u6");
         assertHeld(600, quarantine.atEntry(BAD));
     }
 
@@ -119,7 +119,7 @@
     void tellsACallerWhenItMayBeTriedAgainAndWhy() {
         endThree();
         clock.advance(SECOND);
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
         decisions.clear();
         Standing.Held held = assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
         Refusal refusal = quarantine.refusal(new RequestId(1, 2), held);
@@ -137,11 +137,11 @@
     @Test
     void knowsTheSameAsOthersInWhateverOrderItLearns() {
         Quarantine other = Quarantine.alone(clock);
-        quarantine.ended(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
         quarantine.answered(BAD);
         endThree();
         assertNotEquals(other.fingerprint(), quarantine.fingerprint());
-        quarantine.ends(100).reversed().forEach(other::hear);
+        quarantine.crashes(100).reversed().forEach(other::hear);
         assertEquals(quarantine.fingerprint(), other.fingerprint());
         assertEquals(quarantine.atEntry(BAD), other.atEntry(BAD));
     }
@@ -150,14 +150,14 @@
     void tellsTheLogOfRequestsOfWhichItSawAnEnd() {
         List<RequestDigest> told = new ArrayList<>();
         quarantine.onHeld(told::add);
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u2");
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u2");
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
         assertEquals(1, told.size());
-        quarantine.ended(BAD, "u4");
+        quarantine.recordCrash(BAD, "u4");
         quarantine.answered(BAD);
         for (String upstream : List.of("u1", "u2", "u3")) {
-            quarantine.hear(new UpstreamEnd(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
+            quarantine.hear(new UpstreamCrash(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
         }
         assertEquals(Collections.nCopies(3, RequestDigest.of(BAD)), told);
     }
@@ -179,14 +179,14 @@
 
     @Test
     void forgetsWhatIsPastItsTime() {
-        quarantine.ended(OTHER, "u1");
+        quarantine.recordCrash(OTHER, "u1");
         endThree();
         clock.advance(610 * SECOND);
         quarantine.sweep();
-        assertEquals(3, quarantine.ends(100).size());
+        assertEquals(3, quarantine.crashes(100).size());
         clock.advance(20 * SECOND);
         quarantine.sweep();
-        assertEquals(List.of(), quarantine.ends(100));
+        assertEquals(List.of(), quarantine.crashes(100));
         assertEquals(Standing.FREE, quarantine.atEntry(BAD));
     }
 
@@ -196,16 +196,16 @@
         int most = QuarantineSettings.standard().endsMost();
         for (int i = 0; i < 2 * most; i++) {
             clock.advance(1_000);
-            quarantine.ended(content("/flood/" + i, ""), "u9");
+            quarantine.recordCrash(content("/flood/" + i, ""), "u9");
         }
         quarantine.sweep();
-        assertTrue(quarantine.ends(Integer.MAX_VALUE).size() <= most);
+        assertTrue(quarantine.crashes(Integer.MAX_VALUE).size() <= most);
         assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
     }
 
     private void endThree() {
         for (String upstream : List.of("u1", "u2", "u3")) {
-            quarantine.ended(BAD, upstream);
+            quarantine.recordCrash(BAD, upstream);
         }
     }
 
--- a/node/src/main/java/org/verbenadyke/node/transport/ServerPresence.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/ServerPresence.java
@@ -82,7 +82,7 @@
             told = List.copyOf(waiting);
             waiting.clear();
         }
-        told.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamEnded);
+        told.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamCrashed);
     }
 
     /**
--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void upstreamEnded() {
+        public void upstreamCrashed() {
             told.add("ended");
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -108,7 +108,7 @@
                 p.packByte(CONFIG_NEWS);
                 ConfigCodec.packState(p, m.state());
             }
-            case GossipMessage.Ends m -> {
+            case GossipMessage.CrashReports m -> {
                 p.packByte(ENDS).packString(m.from());
                 EndReports.pack(p, m.reports());
             }
@@ -126,7 +126,7 @@
             case BUCKETS -> new GossipMessage.Buckets(u.unpackString(), u.unpackBoolean(), unpackDigests(u));
             case RECORDS -> new GossipMessage.Records(records.unpack(u));
             case CONFIG_WANTED -> new GossipMessage.ConfigWanted(u.unpackString());
-            case ENDS -> new GossipMessage.Ends(u.unpackString(), EndReports.unpack(u));
+            case ENDS -> new GossipMessage.CrashReports(u.unpackString(), EndReports.unpack(u));
             case CONFIG_NEWS -> new GossipMessage.ConfigNews(ConfigCodec.unpackState(u));
             default -> throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "datagram of type " + kind);
         };
@@ -134,7 +134,7 @@
 
     private static void packView(MessagePacker p, GossipMessage.View view) throws IOException {
         p.packLong(view.digest()).packLong(view.configVersion()).packLong(view.planVersion());
-        p.packInt(view.followedMillis()).packLong(view.endsFingerprint());
+        p.packInt(view.followedMillis()).packLong(view.crashesFingerprint());
     }
 
     private static GossipMessage.View unpackView(MessageUnpacker u) throws IOException {
--- a/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
@@ -39,8 +39,8 @@
         try (MessageBufferPacker p = Buffers.packer()) {
             p.packInt(LAYOUT);
             EndReports.pack(p, record.request());
-            p.packArrayHeader(record.ends().size());
-            for (HeldRequest.End e : record.ends()) {
+            p.packArrayHeader(record.crashes().size());
+            for (HeldRequest.Crash e : record.crashes()) {
                 p.packString(e.upstream()).packBoolean(e.cleared()).packLong(e.atMillis());
             }
             return p.toByteArray();
@@ -58,9 +58,9 @@
             if (layout != LAYOUT || n > ENDS_MOST) {
                 throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " ends");
             }
-            List<HeldRequest.End> ends = new ArrayList<>();
+            List<HeldRequest.Crash> ends = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                ends.add(new HeldRequest.End(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
+                ends.add(new HeldRequest.Crash(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
             }
             return new HeldRequest(request, ends);
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.membership.GossipMessage;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.quarantine.HeldRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.routing.Endpoint;
@@ -61,13 +61,13 @@
 
     @Test
     void takesReportsOfEndsAsANodeWritesThem() {
-        GossipMessage.Ends ends = new GossipMessage.Ends(
+        GossipMessage.CrashReports ends = new GossipMessage.CrashReports(
                 "n",
                 List.of(
-                        new EndReport("u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
-                        new EndReport("u", true, 0, List.of())));
+                        new CrashReport("u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
+                        new CrashReport("u", true, 0, List.of())));
         assertEquals(ends, GossipCodec.decode(GossipCodec.encode(ends)));
-        GossipMessage.Ends odd = new GossipMessage.Ends("n", List.of(new EndReport("u", false, -1, List.of())));
+        GossipMessage.CrashReports odd = new GossipMessage.CrashReports("n", List.of(new CrashReport("u", false, -1, List.of())));
         byte[] bytes = GossipCodec.encode(odd);
         assertThrows(VerbenadykeException.class, () -> GossipCodec.decode(bytes));
     }
@@ -76,7 +76,7 @@
     void tellsHeldRequestsAndMembersOnTheLogApart() {
         HeldRequest held = new HeldRequest(
                 new RequestDigest(-1, 2, 3),
-                List.of(new HeldRequest.End("u", false, 1_800_000_000_000L), new HeldRequest.End("v", true, 5)));
+                List.of(new HeldRequest.Crash("u", false, 1_800_000_000_000L), new HeldRequest.Crash("v", true, 5)));
         byte[] heldBytes = HeldCodec.create().encode(held);
         byte[] memberBytes = MemberCodec.create().encode(member("a"));
         assertEquals(held, HeldCodec.create().decode(heldBytes));
