--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -69,11 +69,11 @@
             return;
         }
         if (isolated.getAsBoolean()) {
-            taker.accept(new Outcome.Elsewhere());
+            taker.accept(new Outcome.OwnedElsewhere());
             return;
         }
         switch (view.of(local, key)) {
-            case Ownership.Elsewhere e -> taker.accept(new Outcome.Elsewhere());
+            case Ownership.Elsewhere e -> taker.accept(new Outcome.OwnedElsewhere());
             case Ownership.Uncertain u -> taker.accept(new Outcome.Uncertain());
             case Ownership.Owned o ->
                 askAll(o, key, local, certain -> taker.accept(claimed(local, key, fingerprint, certain)));
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -39,7 +39,7 @@
         }
         switch (outcome) {
             case KeyClaims.Outcome.Owned owned -> decided(owned.claim());
-            case KeyClaims.Outcome.Elsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
+            case KeyClaims.Outcome.OwnedElsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
             case KeyClaims.Outcome.Uncertain u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
         }
     }
