--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -69,7 +69,7 @@
      * @param team the team
      * @param taker is told, now or soon, whether the request may go on
      */
-    public void admit(Team team, Taker taker) {
+    public void admit(Team team, AdmissionCallback taker) {
         if (team.limit().isEmpty()) {
             taker.admitted();
             return;
@@ -99,17 +99,17 @@
      *
      * @param team the request's team
      */
-    public void giveBack(Team team) {
+    public void returnPermit(Team team) {
         Permits p = permits.get(team.name());
         if (p == null || team.limit().isEmpty()) {
             return;
         }
-        List<Taker> admitted;
+        List<AdmissionCallback> admitted;
         synchronized (p) {
             p.giveBack(parts.timers().nanos());
             admitted = p.admitted();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
     }
 
     /**
@@ -179,8 +179,8 @@
             return;
         }
         long now = parts.timers().nanos();
-        List<Taker> admitted;
-        List<Taker> refused = List.of();
+        List<AdmissionCallback> admitted;
+        List<AdmissionCallback> refused = List.of();
         boolean waits;
         long afterMillis = deal.map(Deal::afterMillis).orElse(AGAIN_NANOS / NANOS_PER_MILLI);
         synchronized (p) {
@@ -197,7 +197,7 @@
             }
             waits = p.waits();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
         Refusal refusal = deal.isPresent() ? limited(afterMillis) : uncertain();
         refused.forEach(t -> t.refused(refusal));
         if (waits) {
@@ -210,7 +210,7 @@
         if (p == null) {
             return;
         }
-        List<Taker> refused;
+        List<AdmissionCallback> refused;
         synchronized (p) {
             if (!p.awaits(ticket)) {
                 return;
@@ -258,7 +258,7 @@
     /**
      * A request that asks for a permit.
      */
-    public interface Taker {
+    public interface AdmissionCallback {
         /** The request may go on. */
         void admitted();
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -78,12 +78,12 @@
                 nodes.get(seenBy).dealers.dealer(team).orElseThrow().nodeId().substring(1));
     }
 
-    void admit(int node, String team, TeamLimiter.Taker taker) {
+    void admit(int node, String team, TeamLimiter.AdmissionCallback taker) {
         nodes.get(node).limiter.admit(teams.get(team), taker);
     }
 
     void giveBack(int node, String team) {
-        nodes.get(node).limiter.giveBack(teams.get(team));
+        nodes.get(node).limiter.returnPermit(teams.get(team));
     }
 
     void kill(int node) {
@@ -241,7 +241,7 @@
     }
 
     /** Counts what becomes of one team's requests, beside what one bucket that sees all of them would do. */
-    static final class Tally implements TeamLimiter.Taker {
+    static final class Tally implements TeamLimiter.AdmissionCallback {
         private final VirtualTimerService clock;
         private final List<Long> admittedAt = new ArrayList<>();
         private int limited;
