--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -90,7 +90,7 @@
         Optional.ofNullable(checks.remove(ticket)).ifPresent(c -> c.patience().cancel());
         GossipMessage.Probe probe = probes.remove(ticket);
         if (probe != null) {
-            host.send(probe.asker(), new GossipMessage.ProbeAck(probe.ticket()));
+            host.send(probe.requester(), new GossipMessage.ProbeAck(probe.ticket()));
         }
     }
 
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -53,7 +53,7 @@
     @Test
     void takesAllRecordsThatAreAsANodeWritesThem() {
         GossipMessage.Rumor rumor = new GossipMessage.Rumor(
-                "n", 7, new GossipMessage.View(1, 2, 3, 4, 5), List.of(member("a"), member("b"), member("c")));
+                "n", 7, new GossipMessage.Summary(1, 2, 3, 4, 5), List.of(member("a"), member("b"), member("c")));
         assertEquals(rumor, GossipCodec.decode(GossipCodec.encode(rumor)));
         assertEquals(
                 member("a"), MemberCodec.create().decode(MemberCodec.create().encode(member("a"))));
