--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -264,7 +264,7 @@
     }
 
     private void compare(Endpoint from, GossipMessage.Summary theirs) {
-        listener.followedHeard(theirs.followedMillis());
+        listener.followedHeard(theirs.followerAgeMillis());
         if (theirs.configVersion() > listener.config().map(ConfigState::version).orElse(-1L)) {
             send(from, new GossipMessage.ConfigRequest(self().nodeId()));
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -91,8 +91,8 @@
      * @param digest a hash of its member table
      * @param configVersion the version of its configuration
      * @param planVersion the version of its routes, -1 if it has none
-     * @param followedMillis how long ago some node was known to read the operators' record, in milliseconds
+     * @param followerAgeMillis how long ago some node was known to read the operators' record, in milliseconds
      * @param crashesFingerprint a hash of what it knows of upstreams that ended
      */
-    record Summary(long digest, long configVersion, long planVersion, int followedMillis, long crashesFingerprint) {}
+    record Summary(long digest, long configVersion, long planVersion, int followerAgeMillis, long crashesFingerprint) {}
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -176,13 +176,13 @@
                 stop();
                 notBefore = clock.nanos() + 2_000 * MILLI;
             }
-            if (reading && clock.nanos() >= until && !duty.regular()) {
+            if (reading && clock.nanos() >= until && !duty.designated()) {
                 stop();
             }
-            if (!reading && clock.nanos() >= notBefore && duty.due()) {
+            if (!reading && clock.nanos() >= notBefore && duty.shouldStart()) {
                 tries++;
                 reading = !cut;
-                duty.following(reading);
+                duty.setFollowing(reading);
                 until = clock.nanos() + 6_000 * MILLI;
                 notBefore = clock.nanos() + (cut ? 2_000 * MILLI : 0);
             }
@@ -190,7 +190,7 @@
 
         private void stop() {
             reading = false;
-            duty.following(false);
+            duty.setFollowing(false);
         }
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -134,7 +134,7 @@
 
     private static void packView(MessagePacker p, GossipMessage.Summary view) throws IOException {
         p.packLong(view.digest()).packLong(view.configVersion()).packLong(view.planVersion());
-        p.packInt(view.followedMillis()).packLong(view.crashesFingerprint());
+        p.packInt(view.followerAgeMillis()).packLong(view.crashesFingerprint());
     }
 
     private static GossipMessage.Summary unpackView(MessageUnpacker u) throws IOException {
