--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -100,7 +100,7 @@
         if (!same || known.state() != MemberState.ALIVE && known.state() != MemberState.DRAINING) {
             return;
         }
-        MemberRecord suspected = known.in(MemberState.SUSPECT, timers.wallMillis());
+        MemberRecord suspected = known.withState(MemberState.SUSPECT, timers.wallMillis());
         if (known.state() == MemberState.ALIVE) {
             host.learn(suspected);
         }
@@ -130,7 +130,7 @@
             timers.after(settings.suspectNanos(), () -> serial.run(() -> recheck(suspected)));
             return;
         }
-        host.learn(known.get().in(MemberState.DEAD, timers.wallMillis()));
+        host.learn(known.get().withState(MemberState.DEAD, timers.wallMillis()));
     }
 
     /** Looks again at a node that was spared since too many others seemed to fail with it. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -55,7 +55,7 @@
      * @param nowMillis the wall clock's time, in milliseconds since the epoch
      * @return the record, of the same version
      */
-    public MemberRecord in(MemberState newState, long nowMillis) {
+    public MemberRecord withState(MemberState newState, long nowMillis) {
         return new MemberRecord(
                 nodeId, incarnation, version, newState, endpoint, control, place, service, nowMillis, epoch);
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -35,7 +35,7 @@
     private static final String KEY = "a-key";
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
-    private final MemberRecord leaving = record("b", 1).in(MemberState.DRAINING, 0);
+    private final MemberRecord leaving = record("b", 1).withState(MemberState.DRAINING, 0);
     private final LocalUpstream owner = upstream(record("a", 1));
     private final MemberTable table = MemberTable.empty();
     private final KeyOwners asking = owners(table);
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -64,7 +64,7 @@
         clock.advance(2 * RETENTION);
         String before = keyNow();
         clock.advance(SECOND);
-        table.merge(record("b", 1).in(MemberState.DEAD, clock.wallMillis()), clock.nanos());
+        table.merge(record("b", 1).withState(MemberState.DEAD, clock.wallMillis()), clock.nanos());
         assertInstanceOf(Ownership.Uncertain.class, view.of(a, before));
         clock.advance(3 * SECOND);
         assertInstanceOf(Ownership.Owned.class, view.of(a, keyNow()));
@@ -81,7 +81,7 @@
         clock.advance(2 * RETENTION);
         String before = keyNow();
         view.handedOn(b.upstreamId());
-        table.merge(b.in(MemberState.LEFT, clock.wallMillis()), clock.nanos());
+        table.merge(b.withState(MemberState.LEFT, clock.wallMillis()), clock.nanos());
         assertInstanceOf(Ownership.Owned.class, view.of(a, before));
     }
 
@@ -99,7 +99,7 @@
     void asksAnUpstreamThatDrains() {
         LocalUpstream a = member("a", 1);
         MemberRecord b = record("b", 1);
-        table.merge(b.in(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
+        table.merge(b.withState(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
         clock.advance(2 * RETENTION);
         assertEquals(1, ((Ownership.Owned) view.of(a, keyNow())).askFirst().size());
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
@@ -33,7 +33,7 @@
         MemberRecord here = record("here");
         MemberRecord leaving = record("leaving");
         table.merge(here, clock.nanos());
-        table.merge(leaving.in(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
+        table.merge(leaving.withState(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
         LocalUpstream local = LocalUpstream.of(
                 here.upstreamId(),
                 "s",
