--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -18,7 +18,7 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.trace.DecisionLog;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.HeldCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 import org.verbenadyke.wire.MemberCodec;
 
 /**
@@ -55,7 +55,7 @@
                         (to, message) -> net.datagram(endpoint, to, message),
                         log,
                         MemberCodec.create(),
-                        HeldCodec.create(),
+                        QuarantinedRequestCodec.create(),
                         ConfigCodec.create(),
                         () -> random,
                         PlanKeeper.absent(),
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
@@ -16,7 +16,7 @@
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.RoutedRequest;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Place;
 import org.verbenadyke.kernel.serve.UpstreamPort;
@@ -154,7 +154,7 @@
         Message.Content bad = content(BAD, "");
         return lab.servers().stream()
                 .filter(LabServer::up)
-                .allMatch(s -> s.node().core().quarantine().atEntry(bad) instanceof Standing.Held);
+                .allMatch(s -> s.node().core().quarantine().statusAtEntry(bad) instanceof QuarantineStatus.Quarantined);
     }
 
     /** Returns what all nodes have sent each other in datagrams. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.membership.DatagramPort;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.route.PlanKeeper;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
@@ -44,7 +44,7 @@
         DatagramPort datagrams,
         LogService log,
         RecordCodec<MemberRecord> members,
-        RecordCodec<HeldRequest> held,
+        RecordCodec<QuarantinedRequest> held,
         RecordCodec<ConfigEntry> configuration,
         Supplier<RandomGenerator> random,
         PlanKeeper plans,
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
@@ -4,7 +4,7 @@
 
 import org.verbenadyke.kernel.log.LogService;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
@@ -36,7 +36,7 @@
     }
 
     private void write(RequestDigest request) {
-        Optional<HeldRequest> held = quarantine.record(request);
+        Optional<QuarantinedRequest> held = quarantine.record(request);
         if (held.isEmpty()) {
             return;
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
@@ -3,7 +3,7 @@
 import org.verbenadyke.kernel.follow.FollowDuty;
 import org.verbenadyke.kernel.membership.Gossip;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 
 /**
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void restore(HeldRequest held) {
+    public void restore(QuarantinedRequest held) {
         quarantine.restore(held);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
@@ -207,7 +207,7 @@
 
     /** Takes a record that is none of a member. */
     private void takeHeld(LogService.LogRecord record, VerbenadykeException noMember) {
-        HeldRequest held;
+        QuarantinedRequest held;
         try {
             held = parts.held().decode(record.bytes());
         } catch (VerbenadykeException e) {
@@ -254,7 +254,7 @@
         void learn(MemberRecord member);
 
         /** Takes a request that was held back. */
-        void restore(HeldRequest held);
+        void restore(QuarantinedRequest held);
 
         /** Tells whether another node was heard since the start. */
         boolean heardAny();
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Choice;
 import org.verbenadyke.kernel.routing.RouteQuery;
@@ -142,7 +142,7 @@
 
     private void open(Attempt attempt) {
         current = attempt;
-        if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held held) {
+        if (parts.quarantine().statusAtEntry(request.content()) instanceof QuarantineStatus.Quarantined held) {
             give(parts.quarantine().refusal(request.id(), held));
             return;
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -109,14 +109,14 @@
      * @param request the request
      * @return the record, empty if nothing is known of it any more
      */
-    public Optional<HeldRequest> record(RequestDigest request) {
+    public Optional<QuarantinedRequest> record(RequestDigest request) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
         return Optional.ofNullable(suspects.get(request))
-                .map(s -> new HeldRequest(
+                .map(s -> new QuarantinedRequest(
                         request,
                         s.ends().stream()
-                                .map(e -> new HeldRequest.Crash(
+                                .map(e -> new QuarantinedRequest.Crash(
                                         e.upstream(), e.cleared(), wall - (now - e.atNanos()) / NANOS_PER_MILLI))
                                 .toList()));
     }
@@ -138,10 +138,10 @@
      *
      * @param held the record
      */
-    public void restore(HeldRequest held) {
+    public void restore(QuarantinedRequest held) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
-        for (HeldRequest.Crash e : held.crashes()) {
+        for (QuarantinedRequest.Crash e : held.crashes()) {
             long age = Math.max(0, wall - e.atMillis()) * NANOS_PER_MILLI;
             hear(new UpstreamCrash(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
         }
@@ -172,7 +172,7 @@
      *
      * @param content the request
      */
-    public void answered(Message.Content content) {
+    public void recordAnswer(Message.Content content) {
         Optional<Suspect> suspect = find(content);
         if (suspect.isEmpty()) {
             return;
@@ -224,7 +224,7 @@
      * @param content the request
      * @return held back, or free
      */
-    public Standing atEntry(Message.Content content) {
+    public QuarantineStatus statusAtEntry(Message.Content content) {
         return standing(content, false);
     }
 
@@ -234,7 +234,7 @@
      * @param content the request
      * @return its standing there
      */
-    public Standing atUpstream(Message.Content content) {
+    public QuarantineStatus statusAtUpstream(Message.Content content) {
         return standing(content, true);
     }
 
@@ -257,7 +257,7 @@
      * @param held its standing
      * @return the refusal; this try has not run
      */
-    public Refusal refusal(RequestId chain, Standing.Held held) {
+    public Refusal refusal(RequestId chain, QuarantineStatus.Quarantined held) {
         long millis = held.nanos() / NANOS_PER_MILLI + 1;
         decisions.note(new Decision.HeldBack(chain, held.request(), millis, held.evidence()));
         return Refusal.notRun(RefusalReason.QUARANTINED, millis);
@@ -326,22 +326,22 @@
         return Optional.ofNullable(suspects.get(RequestDigest.of(content)));
     }
 
-    private Standing standing(Message.Content content, boolean besideUpstream) {
+    private QuarantineStatus standing(Message.Content content, boolean besideUpstream) {
         Optional<Suspect> suspect = find(content);
         if (suspect.isEmpty() || suspect.get().standing() < settings.aloneFrom()) {
-            return Standing.FREE;
+            return QuarantineStatus.UNRESTRICTED;
         }
-        return held(suspect.get()) ? heldStanding(suspect.get(), besideUpstream) : Standing.ALONE;
+        return held(suspect.get()) ? heldStanding(suspect.get(), besideUpstream) : QuarantineStatus.SOLE_SUSPECT;
     }
 
-    private Standing heldStanding(Suspect suspect, boolean besideUpstream) {
+    private QuarantineStatus heldStanding(Suspect suspect, boolean besideUpstream) {
         long now = timers.nanos();
         long left = heldUntil(suspect) - now;
         boolean may = left <= 0 && (!besideUpstream || trials.here(suspect.request(), turn(suspect)));
         if (may) {
-            return Standing.ALONE;
+            return QuarantineStatus.SOLE_SUSPECT;
         }
-        return new Standing.Held(suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
+        return new QuarantineStatus.Quarantined(suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
     }
 
     private boolean held(Suspect suspect) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/HeldRequest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/QuarantinedRequest.java
@@ -8,7 +8,7 @@
  * @param request what it asks for
  * @param crashes the upstreams that ended while they had it
  */
-public record HeldRequest(RequestDigest request, List<Crash> crashes) {
+public record QuarantinedRequest(RequestDigest request, List<Crash> crashes) {
     /**
      * Returns the key under which the newest record is kept.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -215,7 +215,7 @@
     public void end() {
         whileHanded(() -> {
             answer.end(link);
-            server.parts().quarantine().answered(call.content());
+            server.parts().quarantine().recordAnswer(call.content());
             finish(status == UNAVAILABLE ? ConcurrencyLimit.Outcome.SHED : ConcurrencyLimit.Outcome.ANSWERED);
         });
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -19,7 +19,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.route.PlanKeeper;
 import org.verbenadyke.kernel.routing.Endpoint;
@@ -32,7 +32,7 @@
 /** Tests {@link MemberLog}. */
 final class MemberLogTest {
     private static final String UNREADABLE = "unreadable";
-    private static final HeldRequest HELD = new HeldRequest(new RequestDigest(1, 2, 3), List.of());
+    private static final QuarantinedRequest HELD = new QuarantinedRequest(new RequestDigest(1, 2, 3), List.of());
     private static final long HOUR_NANOS = 3_600_000_000_000L;
     private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -282,7 +282,7 @@
         }
 
         @Override
-        public void restore(HeldRequest held) {
+        public void restore(QuarantinedRequest held) {
             learned.add(held.key());
         }
 
@@ -303,14 +303,14 @@
     }
 
     /** Words a held request as its key. */
-    private static final class HeldNameCodec implements RecordCodec<HeldRequest> {
+    private static final class HeldNameCodec implements RecordCodec<QuarantinedRequest> {
         @Override
-        public byte[] encode(HeldRequest record) {
+        public byte[] encode(QuarantinedRequest record) {
             return bytes(record.key());
         }
 
         @Override
-        public HeldRequest decode(byte[] bytes) {
+        public QuarantinedRequest decode(byte[] bytes) {
             String name = new String(bytes, StandardCharsets.UTF_8);
             if (!name.equals(HELD.key())) {
                 throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, name);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.route.PlanKeeper;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Place;
@@ -45,7 +45,7 @@
                         (to, message) -> {},
                         new NoLog(),
                         new NoCodec<MemberRecord>(),
-                        new NoCodec<HeldRequest>(),
+                        new NoCodec<QuarantinedRequest>(),
                         new NoCodec<ConfigEntry>(),
                         () -> new SplittableRandom(1),
                         PlanKeeper.absent(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.call.RecordingSink;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
@@ -134,7 +134,7 @@
         Endpoint first = runs.getFirst();
         running.get(first).head(200, List.of());
         running.get(first).end();
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         assertEquals(before + 1, runs.size());
         assertEquals(first, runs.getLast());
     }
@@ -165,7 +165,7 @@
         }
         int before = runs.size();
         end(runs.getFirst());
-        assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
+        assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
         List.copyOf(runs).forEach(s -> running.get(s).broken());
         assertEquals(before, runs.size());
     }
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -35,7 +35,7 @@
 import org.verbenadyke.node.transport.SharedLoops;
 import org.verbenadyke.node.transport.UdpPort;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.HeldCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 import org.verbenadyke.wire.MemberCodec;
 
 import io.servicetalk.http.api.HttpExecutionStrategies;
@@ -97,7 +97,7 @@
                 datagrams,
                 log,
                 MemberCodec.create(),
-                HeldCodec.create(),
+                QuarantinedRequestCodec.create(),
                 ConfigCodec.create(),
                 ThreadLocalRandom::current,
                 PlanKeeper.absent(),
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -16,7 +16,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.quarantine.CrashReport;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Place;
@@ -74,15 +74,15 @@
 
     @Test
     void tellsHeldRequestsAndMembersOnTheLogApart() {
-        HeldRequest held = new HeldRequest(
+        QuarantinedRequest held = new QuarantinedRequest(
                 new RequestDigest(-1, 2, 3),
-                List.of(new HeldRequest.Crash("u", false, 1_800_000_000_000L), new HeldRequest.Crash("v", true, 5)));
-        byte[] heldBytes = HeldCodec.create().encode(held);
+                List.of(new QuarantinedRequest.Crash("u", false, 1_800_000_000_000L), new QuarantinedRequest.Crash("v", true, 5)));
+        byte[] heldBytes = QuarantinedRequestCodec.create().encode(held);
         byte[] memberBytes = MemberCodec.create().encode(member("a"));
-        assertEquals(held, HeldCodec.create().decode(heldBytes));
+        assertEquals(held, QuarantinedRequestCodec.create().decode(heldBytes));
         assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(heldBytes));
-        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(memberBytes));
-        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
+        assertThrows(VerbenadykeException.class, () -> QuarantinedRequestCodec.create().decode(memberBytes));
+        assertThrows(VerbenadykeException.class, () -> QuarantinedRequestCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
     }
 
     @Test
