--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
@@ -17,7 +17,7 @@
     private final Host host;
     private final Serial serial = Serial.create();
     private final FinishedStarts over = FinishedStarts.none();
-    private UpstreamBeat current;
+    private UpstreamHeartbeat current;
     private boolean present;
     private long heardNanos;
 
@@ -46,7 +46,7 @@
      *
      * @param beat the heartbeat
      */
-    public void hear(UpstreamBeat beat) {
+    public void heartbeat(UpstreamHeartbeat beat) {
         serial.run(() -> take(beat));
     }
 
@@ -79,11 +79,11 @@
      *
      * @return the heartbeat, empty before the first
      */
-    public Optional<UpstreamBeat> current() {
+    public Optional<UpstreamHeartbeat> current() {
         return Optional.ofNullable(current);
     }
 
-    private void take(UpstreamBeat beat) {
+    private void take(UpstreamHeartbeat beat) {
         if (late(beat)) {
             host.late(beat);
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    private boolean late(UpstreamBeat beat) {
+    private boolean late(UpstreamHeartbeat beat) {
         if (over.covers(beat.start(), timers.nanos())) {
             return true;
         }
@@ -119,7 +119,7 @@
         return mustYield && (beat.start().bornBefore(current.start()) || hidesItsBirth(beat));
     }
 
-    private boolean hidesItsBirth(UpstreamBeat beat) {
+    private boolean hidesItsBirth(UpstreamHeartbeat beat) {
         return beat.start().bornMillis().isEmpty()
                 && current.start().bornMillis().isPresent();
     }
@@ -168,14 +168,14 @@
          *
          * @param beat its heartbeat
          */
-        void arrived(UpstreamBeat beat);
+        void arrived(UpstreamHeartbeat beat);
 
         /**
          * Takes notice that the upstream must get no more work; it ends what it has.
          *
          * @param beat its newest heartbeat
          */
-        void leaving(UpstreamBeat beat);
+        void leaving(UpstreamHeartbeat beat);
 
         /**
          * Takes notice that nothing was heard of the upstream for too long.
@@ -183,20 +183,20 @@
          * @param beat its newest heartbeat
          * @param silentNanos for how long, in nanoseconds
          */
-        void silent(UpstreamBeat beat, long silentNanos);
+        void silent(UpstreamHeartbeat beat, long silentNanos);
 
         /**
          * Takes notice that nothing listens any more where the upstream did.
          *
          * @param beat its newest heartbeat
          */
-        void absent(UpstreamBeat beat);
+        void absent(UpstreamHeartbeat beat);
 
         /**
          * Takes notice of a heartbeat that came too late to count.
          *
          * @param beat the heartbeat
          */
-        void late(UpstreamBeat beat);
+        void late(UpstreamHeartbeat beat);
     }
 }
