--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
@@ -120,8 +120,8 @@
     }
 
     private boolean hidesItsBirth(UpstreamHeartbeat beat) {
-        return beat.start().bornMillis().isEmpty()
-                && current.start().bornMillis().isPresent();
+        return beat.start().startedMillis().isEmpty()
+                && current.start().startedMillis().isPresent();
     }
 
     private void end(UpstreamStart gone) {
@@ -141,7 +141,7 @@
     }
 
     private void endOther(UpstreamStart gone) {
-        if (gone.bornMillis().isPresent()) {
+        if (gone.startedMillis().isPresent()) {
             over.finish(gone);
         } else {
             over.finishUnheard(gone.id(), timers.nanos() + silentNanos);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
@@ -218,7 +218,7 @@
         }
 
         private void note(String what, UpstreamHeartbeat beat) {
-            OptionalLong born = beat.start().bornMillis();
+            OptionalLong born = beat.start().startedMillis();
             told.add(what + beat.id() + (born.isPresent() ? "@" + born.getAsLong() : ""));
         }
     }
