--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -11,17 +11,17 @@
  * heartbeat that was held up on the way changes nothing: neither an older one of the same start, nor one of a start
  * that another has replaced or that has said that it is gone.
  */
-public final class UpstreamWatch {
+public final class UpstreamMonitor {
     private final TimerService timers;
     private final long silentNanos;
-    private final Host host;
+    private final Listener host;
     private final Serial serial = Serial.create();
     private final FinishedStarts over = FinishedStarts.none();
     private UpstreamHeartbeat current;
     private boolean present;
     private long heardNanos;
 
-    private UpstreamWatch(TimerService timers, long silentNanos, Host host) {
+    private UpstreamMonitor(TimerService timers, long silentNanos, Listener host) {
         this.timers = timers;
         this.silentNanos = silentNanos;
         this.host = host;
@@ -35,8 +35,8 @@
      * @param host takes the changes
      * @return the watch
      */
-    public static UpstreamWatch start(TimerService timers, long silentNanos, Host host) {
-        UpstreamWatch watch = new UpstreamWatch(timers, silentNanos, host);
+    public static UpstreamMonitor start(TimerService timers, long silentNanos, Listener host) {
+        UpstreamMonitor watch = new UpstreamMonitor(timers, silentNanos, host);
         timers.every(silentNanos / 2, () -> watch.serial.run(watch::look));
         return watch;
     }
@@ -162,7 +162,7 @@
     /**
      * Takes the changes.
      */
-    public interface Host {
+    public interface Listener {
         /**
          * Takes an upstream that may get work.
          *
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
@@ -10,13 +10,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests {@link UpstreamWatch}. */
+/** Tests {@link UpstreamMonitor}. */
 final class UpstreamWatchTest {
     private static final long SILENT = 6_000;
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final List<String> told = new ArrayList<>();
-    private final UpstreamWatch watch = UpstreamWatch.start(clock, SILENT, new Told());
+    private final UpstreamMonitor watch = UpstreamMonitor.start(clock, SILENT, new Told());
 
     @Test
     void ignoresAnOlderHeartbeatOfTheSameStart() {
@@ -191,7 +191,7 @@
     }
 
     /** Notes what is told. */
-    private final class Told implements UpstreamWatch.Host {
+    private final class Told implements UpstreamMonitor.Listener {
         @Override
         public void arrived(UpstreamHeartbeat beat) {
             note("arrived ", beat);
