--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -48,7 +48,7 @@
     private final Gossip gossip;
     private final ConfigKeeper config;
     private final MemberLog memberLog;
-    private final FollowDuty follow;
+    private final FollowDuty followDuty;
     private final PlanExchange planExchange;
     private final TeamLimiter limiter;
     private final Debounce refreshing;
@@ -66,7 +66,7 @@
         this.engine = Engine.create(engineParts(), settings.policy());
         this.limiter = TeamLimiter.create(limiterParts(), settings.quota());
         owners.connectThrough(engine.links());
-        this.follow = FollowDuty.of(
+        this.followDuty = FollowDuty.of(
                 parts.timers(),
                 FollowSettings.standard(),
                 this::self,
@@ -90,7 +90,7 @@
                         this::inForce),
                 settings.config());
         HeldLog.start(parts, quarantine);
-        this.memberLog = new MemberLog(parts, new ListedNode(gossip, follow, quarantine));
+        this.memberLog = new MemberLog(parts, new ListedNode(gossip, followDuty, quarantine));
     }
 
     /**
@@ -229,8 +229,8 @@
      *
      * @return the duty
      */
-    public FollowDuty follow() {
-        return follow;
+    public FollowDuty followDuty() {
+        return followDuty;
     }
 
     /**
@@ -379,12 +379,12 @@
 
         @Override
         public int followedMillis() {
-            return follow.ageMillis();
+            return followDuty.ageMillis();
         }
 
         @Override
         public void followedHeard(int ageMillis) {
-            follow.heard(ageMillis);
+            followDuty.heard(ageMillis);
         }
 
         @Override
