--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -77,7 +77,7 @@
      * @param tolerance by how much limits may be exceeded
      * @return the settings
      */
-    public CoreSettings tolerating(QuotaTolerance tolerance) {
+    public CoreSettings withQuotaTolerance(QuotaTolerance tolerance) {
         return new CoreSettings(
                 policy, gossip, config, owner, rewriteNanos, spreadNanos, QuotaSettings.with(tolerance));
     }
