--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -200,7 +200,7 @@
             Suspect with = before.with(end);
             fresh[0] = with != before;
             if (known == null) {
-                targets.merge(request.target(), 1, Integer::sum);
+                targets.merge(request.pathHash(), 1, Integer::sum);
             }
             return with;
         });
@@ -363,7 +363,7 @@
 
     private void forget(RequestDigest request) {
         if (suspects.remove(request) != null) {
-            targets.computeIfPresent(request.target(), (t, n) -> n == 1 ? null : n - 1);
+            targets.computeIfPresent(request.pathHash(), (t, n) -> n == 1 ? null : n - 1);
             changed = true;
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/EndReports.java
+++ b/wire/src/main/java/org/verbenadyke/wire/EndReports.java
@@ -32,7 +32,7 @@
     }
 
     static void pack(MessagePacker p, RequestDigest digest) throws IOException {
-        p.packInt(digest.target()).packLong(digest.high()).packLong(digest.low());
+        p.packInt(digest.pathHash()).packLong(digest.high()).packLong(digest.low());
     }
 
     static RequestDigest unpackDigest(MessageUnpacker u) throws IOException {
