--- a/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
+++ b/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
@@ -32,7 +32,7 @@
 import org.verbenadyke.kernel.once.SeenCalls;
 import org.verbenadyke.kernel.routing.Choice;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.RouteQuery;
 import org.verbenadyke.kernel.routing.Router;
 import org.verbenadyke.kernel.routing.TwoChoicesProvider;
@@ -69,7 +69,7 @@
     public void fill() {
         int perService = Integer.parseInt(known.substring(0, known.indexOf('x')));
         int services = Integer.parseInt(known.substring(known.indexOf('x') + 1));
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         List<Upstream> upstreams = new ArrayList<>();
         for (int s = 0; s < services; s++) {
             for (int u = 0; u < perService; u++) {
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
@@ -18,7 +18,7 @@
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
@@ -32,8 +32,8 @@
     /** For how long a node must have been undisturbed to count, and how late after the third end it must know. */
     static final long STABILITY = 3 * Lab.SECOND;
 
-    private static final List<Place> PLACES =
-            List.of(new Place("r", "dc-1"), new Place("r", "dc-2"), new Place("r", "dc-3"));
+    private static final List<Location> PLACES =
+            List.of(new Location("r", "dc-1"), new Location("r", "dc-2"), new Location("r", "dc-3"));
     private static final FleetOperation LOOKUP = FleetOperation.of("lookup", "well-index", 90, 1_200, 5_000);
     private static final String SENT_BY = "sent-by";
     private static final int SLOTS = 237;
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -54,7 +54,7 @@
         this.policy = policy;
         this.router = Router.create(
                 parts.nodeId(),
-                parts.place(),
+                parts.location(),
                 policy.subsetSize(),
                 PlugIns.chooser(policy.chooser()),
                 parts.random(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -10,7 +10,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.membership.MemberTable;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
@@ -174,7 +174,7 @@
 
     private boolean rankedHigh(MemberRecord me) {
         List<MemberRecord> present = table.present();
-        Set<Place> places = new HashSet<>(Set.of(me.place()));
+        Set<Location> places = new HashSet<>(Set.of(me.place()));
         present.forEach(r -> places.add(r.place()));
         int rank = MemberRank.of(
                 me.nodeId(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.routing.Upstream;
 
@@ -28,7 +28,7 @@
         MemberState state,
         Endpoint endpoint,
         Endpoint control,
-        Place place,
+        Location place,
         String service,
         long changedMillis,
         int epoch) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -23,7 +23,7 @@
     private static final double WEIGHT_ELSEWHERE = 0.05;
 
     private final String self;
-    private final Place place;
+    private final Location place;
     private final int subsetSize;
     private final Chooser chooser;
     private final Supplier<RandomGenerator> random;
@@ -33,7 +33,7 @@
 
     private Router(
             String self,
-            Place place,
+            Location place,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
@@ -59,7 +59,7 @@
      */
     public static Router create(
             String self,
-            Place place,
+            Location place,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
@@ -199,7 +199,7 @@
                     u.id(),
                     known != null && known.upstream().equals(u)
                             ? known
-                            : Candidate.telling(u, u.place().equals(place), levels));
+                            : Candidate.telling(u, u.location().equals(place), levels));
         }
         List<Candidate> subset = Rendezvous.subset(upstreams, self, this::weight, subsetSize).stream()
                 .map(u -> all.get(u.id()))
@@ -208,10 +208,10 @@
     }
 
     private double weight(Upstream upstream) {
-        if (upstream.place().equals(place)) {
+        if (upstream.location().equals(place)) {
             return WEIGHT_SAME_DATA_CENTRE;
         }
-        return upstream.place().region().equals(place.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
+        return upstream.location().region().equals(place.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
     }
 
     /**
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -23,7 +23,7 @@
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.route.PlanKeeper;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 import org.verbenadyke.kernel.trace.Decision;
 
@@ -230,7 +230,7 @@
 
     private static MemberRecord member(String id) {
         Endpoint here = new Endpoint("127.0.0.1", 1);
-        return new MemberRecord(id, 1, 0, MemberState.ALIVE, here, here, new Place("r", "d"), "", 0, 0);
+        return new MemberRecord(id, 1, 0, MemberState.ALIVE, here, here, new Location("r", "d"), "", 0, 0);
     }
 
     /** Gives one page after the other, a record as long as an offset. */
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -17,7 +17,7 @@
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.route.PlanKeeper;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
@@ -34,7 +34,7 @@
 
     @Test
     void bearsTimersThatFireBeforeItIsComplete() {
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         MemberRecord self = new MemberRecord("n", 1, 0, MemberState.ALIVE, HERE, HERE, place, "", 0, 0);
         NodeCore.start(
                 new CoreParts(
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -22,7 +22,7 @@
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Router;
 import org.verbenadyke.kernel.routing.TwoChoicesProvider;
 import org.verbenadyke.kernel.routing.Upstream;
@@ -36,7 +36,7 @@
 /** Tests {@link Dispatcher} and the requests it sends. */
 final class DispatcherTest {
     private static final long MILLI = 1_000_000L;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.DeeperLevel.NONE);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -97,7 +97,7 @@
 
     private static MemberRecord member(int i, int places, MemberState state) {
         Endpoint at = new Endpoint("10.0.0." + i, 1);
-        return new MemberRecord("n" + i, 1, 0, state, at, at, new Place("r", "d" + i % places), "", 0, 0);
+        return new MemberRecord("n" + i, 1, 0, state, at, at, new Location("r", "d" + i % places), "", 0, 0);
     }
 
     /** Nodes that know each other, tell each other the age of the last sign of a reader, and may lose the store. */
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.message.RecordingLink;
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.serve.LocalUpstream;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -81,7 +81,7 @@
 
     private static MemberRecord record(String name, long incarnation) {
         Endpoint endpoint = new Endpoint("10.0.0.1", 1);
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         return new MemberRecord(name, incarnation, 0, MemberState.ALIVE, endpoint, endpoint, place, "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.once.Ownership;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
@@ -28,7 +28,7 @@
 final class OwnerViewTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long RETENTION = 120 * SECOND;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint END = new Endpoint("10.0.0.1", 1);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.serve.LocalUpstream;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -57,6 +57,6 @@
 
     private static MemberRecord record(String name) {
         Endpoint endpoint = new Endpoint("10.0.0.1", 1);
-        return new MemberRecord(name, 1, 0, MemberState.ALIVE, endpoint, endpoint, new Place("r", "d"), "s", 0, 0);
+        return new MemberRecord(name, 1, 0, MemberState.ALIVE, endpoint, endpoint, new Location("r", "d"), "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.team.RateLimit;
 import org.verbenadyke.kernel.team.Team;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -170,7 +170,7 @@
 
         private MemberRecord record(MemberState state) {
             Endpoint at = new Endpoint("h", number + 1);
-            return new MemberRecord("n" + number, incarnation, version, state, at, at, new Place("r", "d"), "s", 0, 0);
+            return new MemberRecord("n" + number, incarnation, version, state, at, at, new Location("r", "d"), "s", 0, 0);
         }
 
         private void learn(Node other, MemberState state) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
@@ -70,10 +70,10 @@
             for (int i = 0; i < speeds.length; i++) {
                 speed += speeds[i];
                 servers.add(new Server(speeds[i]));
-                upstreams.add(new Upstream("u" + i, "s", AT, new Place("r", CENTRES.get(i))));
+                upstreams.add(new Upstream("u" + i, "s", AT, new Location("r", CENTRES.get(i))));
             }
             for (int i = 0; i < SENDERS; i++) {
-                Place place = new Place("r", CENTRES.get(i % CENTRES.size()));
+                Location place = new Location("r", CENTRES.get(i % CENTRES.size()));
                 Router router =
                         Router.create("n" + i, place, 12, new ExpectedFinishProvider().create(), () -> random, true);
                 router.update(upstreams);
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -14,7 +14,7 @@
 /** Tests {@link ServiceLevels} and what {@link Router} makes of them. */
 final class ServiceLevelsTest {
     private static final long MILLI = 1_000_000L;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
     private static final String PATH = "GET /lookup";
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -23,7 +23,7 @@
     private static final long END = 14_000 * MILLI;
     private static final double SHED_SHARE = 0.45;
     private static final int PLACES = 40;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
 
     private final SplittableRandom random = new SplittableRandom(5);
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Reads the settings of a node. Every key is described in docs/SETTINGS.md.
@@ -69,7 +69,7 @@
         KEYS.forEach(ini::checkKeys);
         NodeSettings settings = new NodeSettings(
                 ini.needed("node", "id"),
-                new Place(ini.needed("node", "region"), ini.needed("node", "data-centre")),
+                new Location(ini.needed("node", "region"), ini.needed("node", "data-centre")),
                 listen(ini, "peers"),
                 listen(ini, "entry"),
                 listen(ini, "local"),
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -19,7 +19,7 @@
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -139,7 +139,7 @@
 
     private static MemberRecord member(String id) {
         Endpoint here = new Endpoint("127.0.0.1", 80);
-        return new MemberRecord(id, 1L << 60, 3, MemberState.ALIVE, here, here, new Place("r", "d"), "s", 5, 0);
+        return new MemberRecord(id, 1L << 60, 3, MemberState.ALIVE, here, here, new Location("r", "d"), "s", 5, 0);
     }
 
     /** What may be odd in a record. */
