--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -136,7 +136,7 @@
                 request.observer().leadsTo(request.service());
                 refuse(RefusalReason.SHED_EARLY);
             }
-            case Choice.Nowhere n -> refuse(RefusalReason.NO_UPSTREAM);
+            case Choice.NoCandidate n -> refuse(RefusalReason.NO_UPSTREAM);
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -91,7 +91,7 @@
     public Choice route(RouteQuery query, long nowNanos) {
         Routes routes = table.get().get(query.service());
         if (routes == null) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!query.key().isEmpty()) {
             return toOwner(routes, query, nowNanos);
@@ -101,7 +101,7 @@
             accepting = accepting(List.copyOf(routes.all.values()), query);
         }
         if (accepting.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!sheds) {
             return chosen(accepting);
@@ -136,7 +136,7 @@
                 .toList();
         Optional<Candidate> owner = Rendezvous.owner(ids, query.key()).map(routes.all::get);
         if (owner.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         int level = Math.max(owner.get().level(now), levels.below(query.service(), query.pathClass(), now));
         if (sheds && query.rank() < level) {
@@ -162,7 +162,7 @@
     private Choice chosen(List<Candidate> candidates) {
         return chooser.choose(candidates, random.get())
                 .<Choice>map(Choice.To::new)
-                .orElseGet(Choice.Nowhere::new);
+                .orElseGet(Choice.NoCandidate::new);
     }
 
     private static List<Candidate> accepting(List<Candidate> candidates, RouteQuery query) {
