--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -263,7 +263,7 @@
      * @param typicalNanos the latency that stands in while none was seen
      * @return the time from now, in nanoseconds
      */
-    public double expectedNanos(double typicalNanos) {
+    public double expectedLatencyNanos(double typicalNanos) {
         double u = utilisation();
         double filling = 1 + FILLING_WEIGHT * u * u * u + WAITING_WEIGHT * Math.max(0, u - 1);
         double seen = latencyNanos == 0 ? typicalNanos : latencyNanos;
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -214,7 +214,7 @@
                 .orElseThrow();
         Candidate unseen = Candidate.of(candidate.upstream(), true);
         unseen.reported("", CALM, clock.nanos());
-        assertTrue(candidate.expectedNanos(MILLI) > unseen.expectedNanos(MILLI));
+        assertTrue(candidate.expectedLatencyNanos(MILLI) > unseen.expectedLatencyNanos(MILLI));
     }
 
     private void renewLink() {
