--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -58,9 +58,9 @@
                         QuarantinedRequestCodec.create(),
                         ConfigCodec.create(),
                         () -> random,
-                        PlanKeeper.absent(),
+                        PlanKeeper.disabled(),
                         node.counters,
-                        Ledger.watching(breaches),
+                        Ledger.reportingTo(breaches),
                         DecisionLog.none()),
                 settings);
         return node;
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -59,7 +59,7 @@
      */
     public static CoreSettings withoutConfigLog(Policy policy) {
         CoreSettings s = with(policy);
-        return new CoreSettings(policy, s.gossip, ConfigSettings.unfollowed(), s.owner, s.rewriteNanos, 0, s.quota);
+        return new CoreSettings(policy, s.gossip, ConfigSettings.notFollowing(), s.owner, s.rewriteNanos, 0, s.quota);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
@@ -46,7 +46,7 @@
      *
      * @return the keeper
      */
-    public static PlanKeeper absent() {
+    public static PlanKeeper disabled() {
         return new PlanKeeper(
                 document -> {
                     throw unreadable("this node is not given routes");
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -71,7 +71,7 @@
      * @return the candidate
      */
     public static Candidate of(Upstream upstream, boolean near) {
-        return new Candidate(upstream, near, ServiceLevels.unknown());
+        return new Candidate(upstream, near, ServiceLevels.empty());
     }
 
     /** Creates a candidate that passes on what its node reports of the levels of services. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -28,7 +28,7 @@
     private final Chooser chooser;
     private final Supplier<RandomGenerator> random;
     private final boolean sheds;
-    private final ServiceLevels levels = ServiceLevels.unknown();
+    private final ServiceLevels levels = ServiceLevels.empty();
     private final AtomicReference<Map<String, Routes>> table = new AtomicReference<>(Map.of());
 
     private Router(
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
@@ -36,7 +36,7 @@
      *
      * @return the levels
      */
-    public static ServiceLevels unknown() {
+    public static ServiceLevels empty() {
         return new ServiceLevels();
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -211,9 +211,9 @@
                 new HeldNameCodec(),
                 null,
                 () -> new SplittableRandom(1),
-                PlanKeeper.absent(),
+                PlanKeeper.disabled(),
                 counters,
-                Ledger.off(),
+                Ledger.disabled(),
                 decisions::add);
         MemberLog members = new MemberLog(parts, node);
         members.start(HOUR_NANOS, spreadNanos);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -48,9 +48,9 @@
                         new NoCodec<QuarantinedRequest>(),
                         new NoCodec<ConfigEntry>(),
                         () -> new SplittableRandom(1),
-                        PlanKeeper.absent(),
+                        PlanKeeper.disabled(),
                         Counters.create(),
-                        Ledger.off(),
+                        Ledger.disabled(),
                         DecisionLog.none()),
                 CoreSettings.withoutConfigLog(Policy.standard()));
         assertEquals(List.of(), failures);
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -54,7 +54,7 @@
                     (endpoint, taker) -> taker.accept(Optional.of(link)),
                     () -> random,
                     counters,
-                    Ledger.watching(b -> got.add("breach " + b)),
+                    Ledger.reportingTo(b -> got.add("breach " + b)),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             DispatchSettings.standard());
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -48,7 +48,7 @@
                     (endpoint, taker) -> taker.accept(Optional.of(link)),
                     () -> random,
                     Counters.create(),
-                    Ledger.off(),
+                    Ledger.disabled(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             DispatchSettings.standard());
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
@@ -28,7 +28,7 @@
                 net.transport(),
                 () -> random,
                 Counters.create(),
-                Ledger.off(),
+                Ledger.disabled(),
                 DecisionLog.none(),
                 quarantine,
                 KeyClaims.alone(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ReturnedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ReturnedUpstreamTest.java
@@ -26,7 +26,7 @@
                     (endpoint, handler) -> {},
                     () -> new SplittableRandom(1),
                     Counters.create(),
-                    Ledger.off(),
+                    Ledger.disabled(),
                     DecisionLog.none(),
                     Quarantine.alone(clock),
                     KeyClaims.alone(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -18,7 +18,7 @@
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
     private static final String PATH = "GET /lookup";
 
-    private final ServiceLevels levels = ServiceLevels.unknown();
+    private final ServiceLevels levels = ServiceLevels.empty();
 
     @Test
     void takesTheYoungerWord() {
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -73,7 +73,7 @@
         this.settings = settings;
         this.io = NettyIoExecutors.createIoExecutor(settings.ioThreads(), "io");
         this.transport = NettyTransport.on(SharedLoops.of(io), counters);
-        this.ledger = settings.ledger() ? Ledger.watching(this::breached) : Ledger.off();
+        this.ledger = settings.ledger() ? Ledger.reportingTo(this::breached) : Ledger.disabled();
         long incarnation = timers.wallMillis() << INCARNATION_SHIFT | new SecureRandom().nextLong() & INCARNATION_MASK;
         LogService log = settings.logs().<LogService>map(a -> HttpLog.at(a, io)).orElseGet(AbsentLog::create);
         DecisionLogger decisions = DecisionLogger.on(timers);
@@ -100,7 +100,7 @@
                 QuarantinedRequestCodec.create(),
                 ConfigCodec.create(),
                 ThreadLocalRandom::current,
-                PlanKeeper.absent(),
+                PlanKeeper.disabled(),
                 counters,
                 ledger,
                 decisions);
