--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
@@ -83,7 +83,7 @@
      * @param nowNanos the time
      * @return the one that refuses most
      */
-    public Message.DeeperLevel highest(Collection<String> called, long nowNanos) {
+    public Message.DeeperLevel strictestLevel(Collection<String> called, long nowNanos) {
         Message.DeeperLevel highest = Message.DeeperLevel.NONE;
         int most = -1;
         for (String service : called) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -195,7 +195,7 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.DeeperLevel below = context.map(c -> parts.levels.highest(c.services(), parts.timers.nanos()))
+        Message.DeeperLevel below = context.map(c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
                 .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -33,17 +33,17 @@
     void takesTheLowestOfTheUpstreamsHeardOfLately() {
         heard("deep-1", "deep", "GET /geo", 200, Message.DeeperLevel.NONE, 1_000);
         heard("deep-2", "deep", "GET /geo", 120, Message.DeeperLevel.NONE, 1_100);
-        assertEquals(new Message.DeeperLevel("deep", 120, 50), levels.highest(Set.of("deep"), 1_150 * MILLI));
+        assertEquals(new Message.DeeperLevel("deep", 120, 50), levels.strictestLevel(Set.of("deep"), 1_150 * MILLI));
         heard("deep-1", "deep", "GET /geo", 210, Message.DeeperLevel.NONE, 1_500);
-        assertEquals(new Message.DeeperLevel("deep", 210, 0), levels.highest(Set.of("deep"), 1_500 * MILLI));
+        assertEquals(new Message.DeeperLevel("deep", 210, 0), levels.strictestLevel(Set.of("deep"), 1_500 * MILLI));
     }
 
     @Test
     void tellsOfTheServiceThatRefusesMost() {
         heard("a-1", "a", "GET /x", 10, Message.DeeperLevel.NONE, 1_000);
         heard("b-1", "b", "GET /x", 30, Message.DeeperLevel.NONE, 1_000);
-        assertEquals("b", levels.highest(Set.of("a", "b", "c"), 1_010 * MILLI).service());
-        assertEquals(Message.DeeperLevel.NONE, levels.highest(Set.of(), 1_010 * MILLI));
+        assertEquals("b", levels.strictestLevel(Set.of("a", "b", "c"), 1_010 * MILLI).service());
+        assertEquals(Message.DeeperLevel.NONE, levels.strictestLevel(Set.of(), 1_010 * MILLI));
     }
 
     @Test
