--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
@@ -252,7 +252,7 @@
             node.process()
                     .run(() -> node.core()
                             .engine()
-                            .callFrom(handOver.contextToken(), inbound, sink)
+                            .submitNested(handOver.contextToken(), inbound, sink)
                             .ifPresent(h -> {
                                 sink.steer(h);
                                 below.add(h);
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
@@ -41,7 +41,7 @@
                 .after(
                         CLIENT_NANOS,
                         () -> node.process()
-                                .run(() -> sink.steer(node.core().engine().enter(inbound, sink))));
+                                .run(() -> sink.steer(node.core().engine().submit(inbound, sink))));
     }
 
     private Operation operation(String target) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
@@ -50,7 +50,7 @@
                 .forEach(s -> s.node()
                         .core()
                         .engine()
-                        .configure(new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
+                        .applyConfiguration(new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
         this.caller = new LabCaller(lab);
     }
 
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
@@ -184,7 +184,7 @@
                     Optional.empty(),
                     stream.waitsMillis * Lab.MILLI - waited,
                     waited);
-            entry.node().core().engine().enter(routed, this);
+            entry.node().core().engine().submit(routed, this);
         }
 
         @Override
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
@@ -285,7 +285,7 @@
                     Optional.empty(),
                     TTL,
                     tries > 1 ? lab.world().nanos() - since : 0);
-            entry.node().core().engine().enter(routed, this);
+            entry.node().core().engine().submit(routed, this);
         }
 
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -312,7 +312,7 @@
     }
 
     private void inForce(Configuration configuration) {
-        engine.configure(configuration);
+        engine.applyConfiguration(configuration);
         if (gossip != null) {
             gossip.pushConfig();
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -120,7 +120,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by
      */
-    public CallHandle enter(Inbound inbound, AnswerSink sink) {
+    public CallHandle submit(Inbound inbound, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
         RequestId id = new RequestId(parts.incarnation(), requests.incrementAndGet());
         Configuration config = configuration.get();
@@ -151,7 +151,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by
      */
-    public CallHandle enter(RoutedRequest routed, AnswerSink sink) {
+    public CallHandle submit(RoutedRequest routed, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
         Route route = routed.route();
         long now = parts.timers().nanos();
@@ -185,7 +185,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by, empty when the call was refused at once
      */
-    public Optional<CallHandle> callFrom(String token, Inbound inbound, AnswerSink sink) {
+    public Optional<CallHandle> submitNested(String token, Inbound inbound, AnswerSink sink) {
         Optional<CallContext> context = server.context(token);
         if (context.isEmpty()) {
             parts.counters().refused(RunState.NOT_RUN, RefusalReason.CONTEXT_UNKNOWN);
@@ -247,7 +247,7 @@
      *
      * @param next the configuration; an older version than the one in force is ignored
      */
-    public void configure(Configuration next) {
+    public void applyConfiguration(Configuration next) {
         Configuration before = configuration.getAndUpdate(c -> next.version() > c.version() ? next : c);
         if (next.version() > before.version()) {
             parts.ledger().applied(next.version());
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -89,14 +89,14 @@
         List<String> below = new ArrayList<>();
         caller.attach(above.host(), "a", (handOver, listener) -> {
             runs.add(above);
-            caller.callFrom(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(below));
+            caller.submitNested(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(below));
             listener.head(500, List.of());
             listener.end();
             return new Engines.Silent();
         });
         net.listen(above, caller::accept);
         entry.router().update(List.of(new Upstream(above.host(), "a", above, Engines.PLACE)));
-        entry.enter(inbound("a", content("GET", "/p"), ""), new RecordingSink(got));
+        entry.submit(inbound("a", content("GET", "/p"), ""), new RecordingSink(got));
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), below);
         assertEquals(List.of(above), runs);
         assertEquals("head 500", got.getFirst());
@@ -203,7 +203,7 @@
     }
 
     private void send(Engine at, Message.Content content, String key) {
-        at.enter(inbound("s", content, key), new RecordingSink(got));
+        at.submit(inbound("s", content, key), new RecordingSink(got));
     }
 
     private static Inbound inbound(String service, Message.Content content, String key) {
--- a/node/src/main/java/org/verbenadyke/node/http/RequestService.java
+++ b/node/src/main/java/org/verbenadyke/node/http/RequestService.java
@@ -90,10 +90,10 @@
         }
         Optional<String> token = header(request, HeaderNames.CONTEXT);
         if (fromUpstream && token.isPresent()) {
-            engine.callFrom(token.get(), inbound.get(), answer).ifPresent(answer::steer);
+            engine.submitNested(token.get(), inbound.get(), answer).ifPresent(answer::steer);
             return;
         }
-        answer.steer(engine.enter(inbound.get(), answer));
+        answer.steer(engine.submit(inbound.get(), answer));
     }
 
     private void refuse(HttpAnswer answer, RefusalReason reason) {
