--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -120,7 +120,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by
      */
-    public CallHandle submit(Inbound inbound, AnswerSink sink) {
+    public CallHandle submit(InboundRequest inbound, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
         RequestId id = new RequestId(parts.incarnation(), requests.incrementAndGet());
         Configuration config = configuration.get();
@@ -185,7 +185,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by, empty when the call was refused at once
      */
-    public Optional<CallHandle> submitNested(String token, Inbound inbound, AnswerSink sink) {
+    public Optional<CallHandle> submitNested(String token, InboundRequest inbound, AnswerSink sink) {
         Optional<CallContext> context = server.context(token);
         if (context.isEmpty()) {
             parts.counters().refused(RunState.NOT_RUN, RefusalReason.CONTEXT_UNKNOWN);
@@ -300,12 +300,12 @@
         return dispatcher;
     }
 
-    private long ttl(Inbound inbound) {
+    private long ttl(InboundRequest inbound) {
         long most = policy.serve().maxTtlNanos();
         return Math.min(most, inbound.ttlNanos().orElse(policy.defaultTtlNanos()));
     }
 
-    private RetryBudget rootBudget(Inbound inbound, RequestId id, Configuration config) {
+    private RetryBudget rootBudget(InboundRequest inbound, RequestId id, Configuration config) {
         if (policy.perHopRetries() > 0) {
             return RootBudget.of(policy.perHopRetries());
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -206,8 +206,8 @@
         at.submit(inbound("s", content, key), new RecordingSink(got));
     }
 
-    private static Inbound inbound(String service, Message.Content content, String key) {
-        return new Inbound(service, content, key, Optional.of(10_000 * MILLI));
+    private static InboundRequest inbound(String service, Message.Content content, String key) {
+        return new InboundRequest(service, content, key, Optional.of(10_000 * MILLI));
     }
 
     private void end(Endpoint server) {
