--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RequestId;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * The messages between two nodes on one connection.
@@ -255,7 +255,7 @@
      * @param fingerprint a hash of what its try asked for
      * @param outcome its outcome
      */
-    record KeyTransfer(String key, long fingerprint, KeptAnswer outcome) implements Message {}
+    record KeyTransfer(String key, long fingerprint, StoredOutcome outcome) implements Message {}
 
     /**
      * Says that an upstream has handed on all its keys.
@@ -290,6 +290,6 @@
          * @param fingerprint a hash of what the try asked for
          * @param outcome the outcome
          */
-        record Known(long fingerprint, KeptAnswer outcome) implements KeyFact {}
+        record Known(long fingerprint, StoredOutcome outcome) implements KeyFact {}
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.time.Subscription;
 
 /**
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public void adopt(KeptAnswer.Whole whole) {
+    public void adopt(StoredOutcome.CompleteAnswer whole) {
         server.parts().counters().count(Event.ANSWER_REPLAYED);
         answer.whole(whole, link, report());
         phase = Phase.FINISHED;
@@ -356,7 +356,7 @@
         local.gate().withdraw(this);
         refuse(refusal);
         if (keyClaimed) {
-            local.keys().withdraw(call.key(), new KeptAnswer.Lost(refusal));
+            local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(refusal));
         }
         conclude();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -4,7 +4,7 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.concurrent.Serial;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.once.KeyTable;
 
 /**
@@ -33,7 +33,7 @@
     private void claimed(KeyClaims.Outcome outcome) {
         if (!host.waiting()) {
             if (outcome instanceof KeyClaims.Outcome.Owned(KeyTable.Claim.Granted g)) {
-                local.keys().withdraw(call.key(), new KeptAnswer.Lost(server.notRun(RefusalReason.CANCELLED)));
+                local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(server.notRun(RefusalReason.CANCELLED)));
             }
             return;
         }
@@ -54,13 +54,13 @@
     }
 
     /** Gives the outcome of the earlier try. */
-    private void outcome(KeptAnswer kept) {
+    private void outcome(StoredOutcome kept) {
         if (!host.waiting()) {
             return;
         }
         switch (kept) {
-            case KeptAnswer.Whole whole -> host.adopt(whole);
-            case KeptAnswer.Lost lost -> host.refuseKeyed(lost.refusal());
+            case StoredOutcome.CompleteAnswer whole -> host.adopt(whole);
+            case StoredOutcome.NoAnswer lost -> host.refuseKeyed(lost.refusal());
         }
     }
 
@@ -75,7 +75,7 @@
         void ownsKey();
 
         /** Answers with the answer of an earlier try. */
-        void adopt(KeptAnswer.Whole whole);
+        void adopt(StoredOutcome.CompleteAnswer whole);
 
         /** Refuses the call. */
         void refuseKeyed(Refusal refusal);
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -53,8 +53,8 @@
             new Message.Inquire(ID, 3, 4),
             new Message.KeyQuery(1, "you", "me", true, "k"),
             new Message.KeyReply(1, new Message.KeyFact.Undetermined()),
-            new Message.KeyReply(1, new Message.KeyFact.Known(2, new KeptAnswer.Whole(201, HEADERS, new byte[] {4}))),
-            new Message.KeyTransfer("k", 2, new KeptAnswer.Lost(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
+            new Message.KeyReply(1, new Message.KeyFact.Known(2, new StoredOutcome.CompleteAnswer(201, HEADERS, new byte[] {4}))),
+            new Message.KeyTransfer("k", 2, new StoredOutcome.NoAnswer(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
             new Message.KeyTransferEnd("u"),
             new Message.PlanRequest(),
             new Message.PlanReply(new byte[] {1, 2}),
