--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorld.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorld.java
@@ -67,7 +67,7 @@
                 policy,
                 GossipSettings.standard(),
                 config,
-                OwnerSettings.keeping(retention),
+                OwnerSettings.withRetention(retention),
                 30 * Lab.SECOND,
                 0,
                 QuotaSettings.with(QuotaTolerance.none()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -45,7 +45,7 @@
                 policy,
                 GossipSettings.standard(),
                 ConfigSettings.standard(),
-                OwnerSettings.keeping(policy.keyRetentionNanos()),
+                OwnerSettings.withRetention(policy.keyRetentionNanos()),
                 DEFAULT_REWRITE_NANOS,
                 0,
                 QuotaSettings.with(QuotaTolerance.none()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -87,7 +87,7 @@
                         parts.quarantine()),
                 policy.serve());
         this.keyedBudgets = KeyedBudgets.keeping(policy.keyRetentionNanos());
-        this.keys = KeyTable.keeping(policy.keyRetentionNanos());
+        this.keys = KeyTable.withRetention(policy.keyRetentionNanos());
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
@@ -25,7 +25,7 @@
      * @param retentionNanos how long a key is kept, in nanoseconds
      * @return the table
      */
-    public static KeyTable keeping(long retentionNanos) {
+    public static KeyTable withRetention(long retentionNanos) {
         return new KeyTable(retentionNanos);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
@@ -19,7 +19,7 @@
      * @param keyRetentionNanos how long a key is kept, in nanoseconds
      * @return the settings
      */
-    public static OwnerSettings keeping(long keyRetentionNanos) {
+    public static OwnerSettings withRetention(long keyRetentionNanos) {
         return new OwnerSettings(keyRetentionNanos, DEFAULT_SKEW_MILLIS, SECOND, DEFAULT_ISOLATED_SECONDS * SECOND);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
@@ -15,7 +15,7 @@
     private static final long RETENTION = 100;
     private static final StoredOutcome ANSWER = new StoredOutcome.CompleteAnswer(200, List.of(), new byte[] {1});
 
-    private final KeyTable table = KeyTable.keeping(RETENTION);
+    private final KeyTable table = KeyTable.withRetention(RETENTION);
 
     @Test
     void grantsAKeyOnce() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -70,13 +70,13 @@
     }
 
     private KeyOwners owners(MemberTable members) {
-        OwnerSettings settings = OwnerSettings.keeping(RETENTION);
+        OwnerSettings settings = OwnerSettings.withRetention(RETENTION);
         return KeyOwners.create(OwnerView.of(members, clock, settings, r -> false), settings, clock, () -> false);
     }
 
     private LocalUpstream upstream(MemberRecord record) {
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.keeping(RETENTION), clock);
+        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -33,7 +33,7 @@
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
     private final MemberTable table = MemberTable.empty();
-    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.keeping(RETENTION), r -> false);
+    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.withRetention(RETENTION), r -> false);
 
     @Test
     void onlyTheHighestRankOwnsAKey() {
@@ -112,7 +112,7 @@
         MemberRecord record = record(name, incarnation);
         table.merge(record, clock.nanos());
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.keeping(RETENTION), clock);
+        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
@@ -25,7 +25,7 @@
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
     private final MemberTable table = MemberTable.empty();
-    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.keeping(RETENTION), r -> false);
+    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.withRetention(RETENTION), r -> false);
 
     /** The one that leaves owned the key until now; the newcomer has not heard of it and so does not ask it. */
     @Test
@@ -39,7 +39,7 @@
                 "s",
                 (h, l) -> null,
                 Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-                KeyTable.keeping(RETENTION),
+                KeyTable.withRetention(RETENTION),
                 clock);
         clock.advance(2 * RETENTION);
         String key = IntStream.iterate(0, i -> i + 1)
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -57,7 +57,7 @@
             "s",
             this::start,
             Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-            KeyTable.keeping(60_000 * MILLI),
+            KeyTable.withRetention(60_000 * MILLI),
             clock);
     private String token = "";
     private long sequence;
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
@@ -53,7 +53,7 @@
                 return null;
             },
             Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-            KeyTable.keeping(60_000 * MILLI),
+            KeyTable.withRetention(60_000 * MILLI),
             clock);
 
     KnownFateTest() {
