--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -278,7 +278,7 @@
 
     /** Refuses a call of which nothing but its fate is kept. */
     private void turnAway(Link link, Message.Call call, RefusalReason reason) {
-        seen.neverRuns(call.id());
+        seen.markNeverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
     }
 
@@ -309,9 +309,9 @@
         if (seen.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seen.claim(id) && seen.reachesBackTo(inquiry.targetClock());
+        boolean neverArrived = seen.claim(id) && seen.coversSince(inquiry.targetClock());
         if (neverArrived) {
-            seen.neverRuns(id);
+            seen.markNeverRuns(id);
         }
         return neverArrived;
     }
