--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -158,7 +158,7 @@
 
     /** Hands the keys on and says that the node stops as planned; called when nothing is in flight any more. */
     public void leave() {
-        engine.server().upstream().ifPresent(u -> owners.handOn(u, duties.heirs(u)));
+        engine.server().upstream().ifPresent(u -> owners.transferKeys(u, duties.heirs(u)));
         gossip.change(MemberState.LEFT, gossip.self().service());
         memberLog.leave();
     }
@@ -308,7 +308,7 @@
         boolean alone = table.present().size() <= 1;
         return !alone
                 && parts.timers().nanos() - gossip.heardNanos()
-                        > settings.owner().isolatedNanos();
+                        > settings.owner().isolatedAfterNanos();
     }
 
     private void inForce(Configuration configuration) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -112,7 +112,7 @@
      * @param local the upstream beside this node
      * @param heirs the upstreams of the service that go on
      */
-    public void handOn(LocalUpstream local, List<Upstream> heirs) {
+    public void transferKeys(LocalUpstream local, List<Upstream> heirs) {
         List<KeyTable.Known> known = local.keys().known();
         for (Upstream heir : heirs) {
             links.acquire(
