--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.membership.GossipMessage;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.trace.DecisionLog;
 import org.verbenadyke.wire.ConfigCodec;
@@ -58,7 +58,7 @@
                         QuarantinedRequestCodec.create(),
                         ConfigCodec.create(),
                         () -> random,
-                        PlanKeeper.disabled(),
+                        RoutePlanStore.disabled(),
                         node.counters,
                         Ledger.reportingTo(breaches),
                         DecisionLog.none()),
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
@@ -47,7 +47,7 @@
         RecordCodec<QuarantinedRequest> held,
         RecordCodec<ConfigEntry> configuration,
         Supplier<RandomGenerator> random,
-        PlanKeeper plans,
+        RoutePlanStore plans,
         Counters counters,
         Ledger ledger,
         DecisionLog decisions) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
@@ -3,7 +3,7 @@
 import org.verbenadyke.kernel.link.Links;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
@@ -12,13 +12,13 @@
 final class PlanExchange {
     private static final String SOURCE = "peer";
 
-    private final PlanKeeper plans;
+    private final RoutePlanStore plans;
 
-    private PlanExchange(PlanKeeper plans) {
+    private PlanExchange(RoutePlanStore plans) {
         this.plans = plans;
     }
 
-    static PlanExchange of(PlanKeeper plans) {
+    static PlanExchange of(RoutePlanStore plans) {
         return new PlanExchange(plans);
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.metrics.Event;
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -211,7 +211,7 @@
                 new HeldNameCodec(),
                 null,
                 () -> new SplittableRandom(1),
-                PlanKeeper.disabled(),
+                RoutePlanStore.disabled(),
                 counters,
                 Ledger.disabled(),
                 decisions::add);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.Subscription;
@@ -48,7 +48,7 @@
                         new NoCodec<QuarantinedRequest>(),
                         new NoCodec<ConfigEntry>(),
                         () -> new SplittableRandom(1),
-                        PlanKeeper.disabled(),
+                        RoutePlanStore.disabled(),
                         Counters.create(),
                         Ledger.disabled(),
                         DecisionLog.none()),
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.node.control.ControlService;
 import org.verbenadyke.node.control.LocalService;
@@ -100,7 +100,7 @@
                 QuarantinedRequestCodec.create(),
                 ConfigCodec.create(),
                 ThreadLocalRandom::current,
-                PlanKeeper.disabled(),
+                RoutePlanStore.disabled(),
                 counters,
                 ledger,
                 decisions);
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -18,7 +18,7 @@
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.plan.PlanProblems;
-import org.verbenadyke.kernel.plan.Planner;
+import org.verbenadyke.kernel.plan.ChangePlanner;
 import org.verbenadyke.kernel.plan.ServiceView;
 import org.verbenadyke.kernel.routing.Candidate;
 
@@ -45,7 +45,7 @@
 
     String plan(String body) {
         try {
-            return PlanJson.of(Planner.plan(
+            return PlanJson.of(ChangePlanner.plan(
                             UUID.randomUUID().toString(),
                             core.engine().configuration(),
                             PlanJson.intents(PlanJson.parse(body)),
@@ -72,7 +72,7 @@
                 return;
             }
             String id = UUID.randomUUID().toString();
-            taker.accept(PlanJson.of(Planner.undo(id, core.engine().configuration(), earlier.get(), services()))
+            taker.accept(PlanJson.of(ChangePlanner.undo(id, core.engine().configuration(), earlier.get(), services()))
                     .toString());
         });
     }
