--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
@@ -41,7 +41,7 @@
      * @param intents what is wanted
      * @param services what is known of the services
      * @return the plan
-     * @throws PlanProblems with every intent that is wrong
+     * @throws InvalidIntentsException with every intent that is wrong
      */
     public static ChangePlan plan(String id, Configuration base, Intents intents, List<ServiceView> services) {
         return new ChangePlanner(id, base, services).plan(intents);
@@ -87,7 +87,7 @@
             leaving.add(node);
         });
         if (!problems.isEmpty()) {
-            throw PlanProblems.of(problems);
+            throw InvalidIntentsException.of(problems);
         }
         return toward(new Configuration(base.version() + 1, retries, List.copyOf(rules), Set.copyOf(leaving)));
     }
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -17,7 +17,7 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.plan.PlanProblems;
+import org.verbenadyke.kernel.plan.InvalidIntentsException;
 import org.verbenadyke.kernel.plan.ChangePlanner;
 import org.verbenadyke.kernel.plan.ServiceView;
 import org.verbenadyke.kernel.routing.Candidate;
@@ -51,7 +51,7 @@
                             PlanJson.intents(PlanJson.parse(body)),
                             services()))
                     .toString();
-        } catch (PlanProblems e) {
+        } catch (InvalidIntentsException e) {
             ObjectNode node = JSON.createObjectNode();
             ArrayNode problems = node.putArray("problems");
             e.problems().forEach(problems::add);
