--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
@@ -66,7 +66,7 @@
 
     private void heard(ConfigEntry.Change change, Confirmed outcome, int tries) {
         Confirmed before = told.put(change.id(), outcome);
-        boolean settled = before instanceof Confirmed.InForce || before instanceof Confirmed.Lost;
+        boolean settled = before instanceof Confirmed.InForce || before instanceof Confirmed.Superseded;
         if (settled && before.getClass() != outcome.getClass()) {
             violations.add("change " + change.id() + " told " + before + " and then " + outcome);
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -20,7 +20,7 @@
  * Keeps the configuration of one node up to date: from the log, which a few nodes of each data centre follow closely
  * and the others now and then, and from other nodes. Appends confirmed changes and finds out what became of them.
  */
-public final class ConfigKeeper {
+public final class ConfigStore {
     /** The stream of configuration entries. */
     public static final String STREAM = "configuration";
 
@@ -37,7 +37,7 @@
     private volatile boolean synced;
     private boolean reading;
 
-    private ConfigKeeper(Parts parts, ConfigSettings settings) {
+    private ConfigStore(Parts parts, ConfigSettings settings) {
         this.parts = parts;
         this.settings = settings;
         this.readNanos = new AtomicLong(parts.timers().nanos());
@@ -50,8 +50,8 @@
      * @param settings how often it reads and writes
      * @return the keeper
      */
-    public static ConfigKeeper start(Parts parts, ConfigSettings settings) {
-        ConfigKeeper keeper = new ConfigKeeper(parts, settings);
+    public static ConfigStore start(Parts parts, ConfigSettings settings) {
+        ConfigStore keeper = new ConfigStore(parts, settings);
         if (!settings.followed()) {
             return keeper;
         }
@@ -107,7 +107,7 @@
      *
      * @param told the state
      */
-    public void hear(ConfigState told) {
+    public void receive(ConfigState told) {
         serial.run(() -> {
             reader.hear(told);
             publish();
@@ -129,7 +129,7 @@
             }
             long inForce = reader.state().map(ConfigState::version).orElse(0L);
             if (reader.state().isPresent() && change.base() < inForce) {
-                taker.accept(new Confirmed.Lost(inForce));
+                taker.accept(new Confirmed.Superseded(inForce));
                 return;
             }
             append(change, taker);
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/Confirmed.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/Confirmed.java
@@ -16,7 +16,7 @@
      *
      * @param version the version in force
      */
-    record Lost(long version) implements Confirmed {}
+    record Superseded(long version) implements Confirmed {}
 
     /**
      * The change is not on the log.
@@ -39,6 +39,6 @@
      * @return the outcome
      */
     static Confirmed of(ConfigState.Decision decision) {
-        return decision.won() ? new InForce(decision.version()) : new Lost(decision.version());
+        return decision.tookEffect() ? new InForce(decision.version()) : new Superseded(decision.version());
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.admission.SlotLimit;
-import org.verbenadyke.kernel.config.ConfigKeeper;
+import org.verbenadyke.kernel.config.ConfigStore;
 import org.verbenadyke.kernel.config.ConfigState;
 import org.verbenadyke.kernel.config.Configuration;
 import org.verbenadyke.kernel.engine.Engine;
@@ -46,7 +46,7 @@
     private final KeyOwners owners;
     private final Engine engine;
     private final Gossip gossip;
-    private final ConfigKeeper config;
+    private final ConfigStore config;
     private final MemberLog memberLog;
     private final FollowDuty followDuty;
     private final PlanExchange planExchange;
@@ -79,8 +79,8 @@
                 parts.self(),
                 parts.seeds(),
                 new News());
-        this.config = ConfigKeeper.start(
-                new ConfigKeeper.Parts(
+        this.config = ConfigStore.start(
+                new ConfigStore.Parts(
                         parts.timers(),
                         parts.log(),
                         parts.configuration(),
@@ -193,7 +193,7 @@
      *
      * @return the keeper
      */
-    public ConfigKeeper config() {
+    public ConfigStore config() {
         return config;
     }
 
@@ -394,7 +394,7 @@
 
         @Override
         public void configHeard(ConfigState state) {
-            config.hear(state);
+            config.receive(state);
         }
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -109,7 +109,7 @@
         ArrayNode decisions = node.putArray("decisions");
         for (ConfigState.Decision d : core.config().history()) {
             ObjectNode line = decisions.addObject();
-            line.put("outcome", d.won() ? "in-force" : "lost");
+            line.put("outcome", d.tookEffect() ? "in-force" : "lost");
             line.put("version", d.version());
             line.put("id", d.id());
             line.put("author", d.author());
@@ -123,7 +123,7 @@
         node.put("id", change.id());
         switch (outcome) {
             case Confirmed.InForce c -> node.put("outcome", "in-force").put("version", c.version());
-            case Confirmed.Lost c ->
+            case Confirmed.Superseded c ->
                 node.put("outcome", "lost")
                         .put("version", c.version())
                         .put(
