--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -120,23 +120,23 @@
      * @param change the change
      * @param taker is told once
      */
-    public void confirm(ConfigEntry.Change change, Consumer<Confirmed> taker) {
+    public void confirm(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
         serial.run(() -> {
             Optional<ConfigState.Decision> known = reader.state().flatMap(s -> s.decision(change.id()));
             if (known.isPresent()) {
-                taker.accept(Confirmed.of(known.get()));
+                taker.accept(ConfirmOutcome.of(known.get()));
                 return;
             }
             long inForce = reader.state().map(ConfigState::version).orElse(0L);
             if (reader.state().isPresent() && change.base() < inForce) {
-                taker.accept(new Confirmed.Superseded(inForce));
+                taker.accept(new ConfirmOutcome.Superseded(inForce));
                 return;
             }
             append(change, taker);
         });
     }
 
-    private void append(ConfigEntry.Change change, Consumer<Confirmed> taker) {
+    private void append(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
         Pending pending = new Pending(taker);
         confirming.put(change.id(), pending);
         parts.timers()
@@ -144,7 +144,7 @@
                         settings.confirmNanos(),
                         () -> serial.run(() -> {
                             confirming.remove(change.id(), pending);
-                            pending.tell(new Confirmed.Unknown("the log did not show the change in time"));
+                            pending.tell(new ConfirmOutcome.Unknown("the log did not show the change in time"));
                         }));
         parts.log()
                 .append(
@@ -153,14 +153,14 @@
                         parts.codec().encode(change),
                         result -> serial.run(() -> {
                             switch (result) {
-                                case LogService.Appended.At at ->
+                                case LogService.AppendResult.At at ->
                                     parts.counters().count(Event.LOG_APPENDED);
-                                case LogService.Appended.Unknown u ->
+                                case LogService.AppendResult.Unknown u ->
                                     parts.counters().count(Event.LOG_FAILED);
-                                case LogService.Appended.Failed f -> {
+                                case LogService.AppendResult.Failed f -> {
                                     parts.counters().count(Event.LOG_FAILED);
                                     confirming.remove(change.id(), pending);
-                                    pending.tell(new Confirmed.NotAppended(f.why()));
+                                    pending.tell(new ConfirmOutcome.NotAppended(f.why()));
                                 }
                             }
                             read();
@@ -176,10 +176,10 @@
         parts.log().read(STREAM, reader.nextOffset(), wait, result -> serial.run(() -> taken(result)));
     }
 
-    private void taken(LogService.Read result) {
+    private void taken(LogService.ReadResult result) {
         reading = false;
         switch (result) {
-            case LogService.Read.Records r -> {
+            case LogService.ReadResult.Records r -> {
                 readNanos.set(parts.timers().nanos());
                 Map<Long, ConfigEntry> entries = new HashMap<>();
                 r.records().forEach(x -> entries.put(x.offset(), parts.codec().decode(x.bytes())));
@@ -187,7 +187,7 @@
                 publish();
                 again(r.records().isEmpty() && !closely() ? settings.idleNanos() : SEEN_MILLIS * NANOS_PER_MILLI);
             }
-            case LogService.Read.Failed f -> {
+            case LogService.ReadResult.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
                 again(settings.retryNanos());
             }
@@ -218,7 +218,7 @@
                 .entrySet()
                 .removeIf(e -> published
                         .decision(e.getKey())
-                        .map(d -> e.getValue().tell(Confirmed.of(d)))
+                        .map(d -> e.getValue().tell(ConfirmOutcome.of(d)))
                         .orElse(false));
     }
 
@@ -236,7 +236,7 @@
                         STREAM,
                         parts.codec().encode(snapshot),
                         r -> parts.counters()
-                                .count(r instanceof LogService.Appended.At ? Event.LOG_APPENDED : Event.LOG_FAILED));
+                                .count(r instanceof LogService.AppendResult.At ? Event.LOG_APPENDED : Event.LOG_FAILED));
     }
 
     /**
@@ -263,14 +263,14 @@
      * A confirmation under way.
      */
     private static final class Pending {
-        private final Consumer<Confirmed> taker;
+        private final Consumer<ConfirmOutcome> taker;
         private boolean told;
 
-        private Pending(Consumer<Confirmed> taker) {
+        private Pending(Consumer<ConfirmOutcome> taker) {
             this.taker = taker;
         }
 
-        boolean tell(Confirmed outcome) {
+        boolean tell(ConfirmOutcome outcome) {
             if (!told) {
                 told = true;
                 taker.accept(outcome);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -251,17 +251,17 @@
         }
 
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
             appends++;
-            taker.accept(new Appended.At(0));
+            taker.accept(new AppendResult.At(0));
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
             asked.add(fromOffset);
             boolean written = fromOffset < pages.size();
             List<LogRecord> page = written ? pages.get((int) fromOffset) : List.of();
-            taker.accept(new Read.Records(0, fromOffset + (written ? 1 : 0), page, complete));
+            taker.accept(new ReadResult.Records(0, fromOffset + (written ? 1 : 0), page, complete));
         }
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -89,12 +89,12 @@
     /** A log that never answers. */
     private static final class NoLog implements LogService {
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
             // Never answers.
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
             // Never answers.
         }
     }
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.config.ConfigEntry;
 import org.verbenadyke.kernel.config.ConfigState;
 import org.verbenadyke.kernel.config.Configuration;
-import org.verbenadyke.kernel.config.Confirmed;
+import org.verbenadyke.kernel.config.ConfirmOutcome;
 import org.verbenadyke.kernel.core.NodeCore;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
@@ -118,23 +118,23 @@
         return node.toString();
     }
 
-    private static String words(ConfigEntry.Change change, Confirmed outcome) {
+    private static String words(ConfigEntry.Change change, ConfirmOutcome outcome) {
         ObjectNode node = JSON.createObjectNode();
         node.put("id", change.id());
         switch (outcome) {
-            case Confirmed.InForce c -> node.put("outcome", "in-force").put("version", c.version());
-            case Confirmed.Superseded c ->
+            case ConfirmOutcome.InForce c -> node.put("outcome", "in-force").put("version", c.version());
+            case ConfirmOutcome.Superseded c ->
                 node.put("outcome", "lost")
                         .put("version", c.version())
                         .put(
                                 "message",
                                 VerbenadykeException.describe(ErrorCode.PLAN_STALE, change.base(), c.version()));
-            case Confirmed.NotAppended c ->
+            case ConfirmOutcome.NotAppended c ->
                 node.put("outcome", "not-appended")
                         .put(
                                 "message",
                                 VerbenadykeException.describe(ErrorCode.LOG_UNREACHABLE, "[log] address", c.why()));
-            case Confirmed.Unknown c ->
+            case ConfirmOutcome.Unknown c ->
                 node.put("outcome", "unknown")
                         .put("message", VerbenadykeException.describe(ErrorCode.LOG_OUTCOME_UNKNOWN, c.why()));
         }
