--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -160,7 +160,7 @@
                                 case LogService.AppendResult.Failed f -> {
                                     parts.counters().count(Event.LOG_FAILED);
                                     confirming.remove(change.id(), pending);
-                                    pending.tell(new ConfirmOutcome.NotAppended(f.why()));
+                                    pending.tell(new ConfirmOutcome.NotAppended(f.reason()));
                                 }
                             }
                             read();
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfirmOutcome.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfirmOutcome.java
@@ -21,16 +21,16 @@
     /**
      * The change is not on the log.
      *
-     * @param why what went wrong
+     * @param reason what went wrong
      */
-    record NotAppended(String why) implements ConfirmOutcome {}
+    record NotAppended(String reason) implements ConfirmOutcome {}
 
     /**
      * It can't be known yet; asking again with the same change is safe.
      *
-     * @param why what is missing
+     * @param reason what is missing
      */
-    record Unknown(String why) implements ConfirmOutcome {}
+    record Unknown(String reason) implements ConfirmOutcome {}
 
     /**
      * Words a decision.
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
@@ -51,16 +51,16 @@
         /**
          * The record may be on the log or not.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Unknown(String why) implements AppendResult {}
+        record Unknown(String reason) implements AppendResult {}
 
         /**
          * The record is not on the log.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Failed(String why) implements AppendResult {}
+        record Failed(String reason) implements AppendResult {}
     }
 
     /**
@@ -91,9 +91,9 @@
         /**
          * Nothing could be read.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Failed(String why) implements ReadResult {}
+        record Failed(String reason) implements ReadResult {}
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
@@ -167,7 +167,7 @@
      *
      * @param source the stream or the sender that it came from
      * @param key its key, empty if it has none
-     * @param why what is wrong with it
+     * @param reason what is wrong with it
      */
-    record RecordSkipped(String source, String key, String why) implements Decision {}
+    record RecordSkipped(String source, String key, String reason) implements Decision {}
 }
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -133,10 +133,10 @@
                 node.put("outcome", "not-appended")
                         .put(
                                 "message",
-                                VerbenadykeException.describe(ErrorCode.LOG_UNREACHABLE, "[log] address", c.why()));
+                                VerbenadykeException.describe(ErrorCode.LOG_UNREACHABLE, "[log] address", c.reason()));
             case ConfirmOutcome.Unknown c ->
                 node.put("outcome", "unknown")
-                        .put("message", VerbenadykeException.describe(ErrorCode.LOG_OUTCOME_UNKNOWN, c.why()));
+                        .put("message", VerbenadykeException.describe(ErrorCode.LOG_OUTCOME_UNKNOWN, c.reason()));
         }
         return node.toString();
     }
--- a/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
@@ -137,7 +137,7 @@
                         .with("version", d.version())
                         .with("service", d.service());
             case Decision.RecordSkipped d ->
-                line.with("source", d.source()).with("key", d.key()).with("why", d.why());
+                line.with("source", d.source()).with("key", d.key()).with("why", d.reason());
         }
     }
 
