--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -95,7 +95,7 @@
     void granted(long ticket, boolean granted) {
         CallContext c = context;
         if (c != null) {
-            c.budget().granted(ticket, granted);
+            c.budget().decided(ticket, granted);
         }
     }
 
@@ -134,7 +134,7 @@
                 newLink.send(new Message.Refused(
                         call.id(), new Refusal(RunState.RAN, RefusalReason.CONNECTION_LOST, 0), report()));
             }
-            Optional.ofNullable(context).ifPresent(c -> c.budget().askAgain());
+            Optional.ofNullable(context).ifPresent(c -> c.budget().resendPending());
         });
     }
 
