--- a/node/src/main/java/org/verbenadyke/node/transport/Loops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/Loops.java
@@ -2,7 +2,7 @@
 
 import java.nio.channels.spi.SelectorProvider;
 
-import org.verbenadyke.kernel.time.TurnPacing;
+import org.verbenadyke.kernel.time.EventLoopPacing;
 
 import io.netty.channel.Channel;
 import io.netty.channel.DefaultSelectStrategyFactory;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Starts threads like {@link #nio}, which rest between two turns when they are busy; see {@link TurnPacing}.
+     * Starts threads like {@link #nio}, which rest between two turns when they are busy; see {@link EventLoopPacing}.
      *
      * @param threads how many
      * @return the threads
