--- a/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.Decision;
 import org.verbenadyke.kernel.trace.DecisionLog;
-import org.verbenadyke.kernel.trace.LineBudget;
+import org.verbenadyke.kernel.trace.LineRateLimiter;
 
 /**
  * Writes decisions as structured log lines, a bounded number of each kind a second.
@@ -43,10 +43,10 @@
 
     private static final int FIELDS = 10;
 
-    private final LineBudget budget;
-    private final LineBudget endedBudget;
+    private final LineRateLimiter budget;
+    private final LineRateLimiter endedBudget;
 
-    private DecisionLogger(LineBudget budget, LineBudget endedBudget) {
+    private DecisionLogger(LineRateLimiter budget, LineRateLimiter endedBudget) {
         this.budget = budget;
         this.endedBudget = endedBudget;
     }
@@ -58,7 +58,7 @@
      * @return the logger
      */
     public static DecisionLogger on(TimerService timers) {
-        return new DecisionLogger(LineBudget.of(timers, LINES_MOST), LineBudget.of(timers, ENDED_LINES_MOST));
+        return new DecisionLogger(LineRateLimiter.of(timers, LINES_MOST), LineRateLimiter.of(timers, ENDED_LINES_MOST));
     }
 
     @Override
