--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -53,7 +53,7 @@
         }
         attempt.bind(link.get());
         parts.decisions()
-                .note(new Decision.FateAsked(
+                .note(new Decision.StatusInquired(
                         attempt.dispatch().requestId(),
                         attempt.id(),
                         attempt.candidate().upstream().id(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -259,7 +259,7 @@
      */
     public Refusal refusal(RequestId chain, QuarantineStatus.Quarantined held) {
         long millis = held.nanos() / NANOS_PER_MILLI + 1;
-        decisions.note(new Decision.HeldBack(chain, held.request(), millis, held.evidence()));
+        decisions.note(new Decision.QuarantineRefused(chain, held.request(), millis, held.evidence()));
         return Refusal.notRun(RefusalReason.QUARANTINED, millis);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -172,7 +172,7 @@
 
     void refuse(Link link, Message.Call call, Refusal refusal, Optional<CallContext> context) {
         Message.Report report = report(context);
-        parts.decisions.note(new Decision.TurnedAway(
+        parts.decisions.note(new Decision.CallRefused(
                 call.request(),
                 call.target().upstream(),
                 refusal.state(),
@@ -234,7 +234,7 @@
         }
         String id = call.target().upstream();
         RequestDigest digest = RequestDigest.of(call.content());
-        parts.decisions.note(new Decision.EndedUnder(call.request(), id, digest));
+        parts.decisions.note(new Decision.UpstreamCrashed(call.request(), id, digest));
         parts.quarantine.recordCrash(digest, id);
         return RefusalReason.UPSTREAM_ENDED;
     }
@@ -291,7 +291,7 @@
         }
         Refusal fate =
                 neverRuns(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
-        parts.decisions.note(new Decision.FateTold(id, fate.state(), fate.reason(), parts.incarnation));
+        parts.decisions.note(new Decision.StatusReported(id, fate.state(), fate.reason(), parts.incarnation));
         refuse(link, id, fate, report(Optional.empty()));
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -125,7 +125,7 @@
         Refusal refusal = quarantine.refusal(new RequestId(1, 2), held);
         assertEquals(new Refusal(RunState.NOT_RUN, RefusalReason.QUARANTINED, 79_001), refusal);
         assertEquals(
-                List.of(new Decision.HeldBack(
+                List.of(new Decision.QuarantineRefused(
                         new RequestId(1, 2),
                         RequestDigest.of(BAD),
                         79_001,
