--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -212,7 +212,7 @@
         counters.count(Event.INVARIANT_BREACHED);
         LOG.error(
                 "{} {}: {}.",
-                VerbenadykeException.describe(ErrorCode.INVARIANT_BREACHED, breach.promise()),
+                VerbenadykeException.describe(ErrorCode.INVARIANT_BREACHED, breach.invariant()),
                 breach.subject(),
                 breach.history());
     }
