--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.log.LogService;
 import org.verbenadyke.kernel.log.RecordCodec;
 import org.verbenadyke.kernel.metrics.Counters;
@@ -30,7 +30,7 @@
     private final Parts parts;
     private final ConfigSettings settings;
     private final ConfigReader reader = ConfigReader.create();
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Map<String, Pending> confirming = new HashMap<>();
     private final AtomicLong readNanos;
     private volatile ConfigState published;
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
@@ -15,7 +15,7 @@
     private final TimerService timers;
     private final long silentNanos;
     private final Listener host;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final FinishedStarts over = FinishedStarts.none();
     private UpstreamHeartbeat current;
     private boolean present;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.call.RequestId;
 import org.verbenadyke.kernel.call.RetryReason;
 import org.verbenadyke.kernel.call.RunState;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
@@ -33,7 +33,7 @@
     private final Request request;
     private final String pathClass;
     private final AnswerSink sink;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Set<String> tried = new HashSet<>();
     private Attempt current;
     private boolean done;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RetryReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.link.Links;
 import org.verbenadyke.kernel.message.Link;
@@ -163,7 +163,7 @@
         return RetryAfter.spread(settings.retryAfterMillis(), parts.random.get());
     }
 
-    void afterPause(Serial serial, Runnable step) {
+    void afterPause(SerialExecutor serial, Runnable step) {
         parts.timers.after(PAUSE_NANOS, () -> serial.run(step));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
@@ -34,7 +34,7 @@
     private final String self;
     private final TimerService timers;
     private final GossipSettings settings;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final MemberTable table;
     private final PeerChoice peers;
     private final Quarantine quarantine;
@@ -46,7 +46,7 @@
             String self,
             Gossip.Parts parts,
             GossipSettings settings,
-            Serial serial,
+            SerialExecutor serial,
             PeerChoice peers,
             BiConsumer<Endpoint, GossipMessage> port) {
         this.self = self;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
@@ -20,7 +20,7 @@
 
     private final TimerService timers;
     private final GossipSettings settings;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final MemberTable table;
     private final PeerChoice peers;
     private final Host host;
@@ -32,7 +32,7 @@
     FailureDetector(
             TimerService timers,
             GossipSettings settings,
-            Serial serial,
+            SerialExecutor serial,
             MemberTable table,
             PeerChoice peers,
             Host host) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.config.ConfigState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
@@ -32,7 +32,7 @@
     private final MemberTable table;
     private final FailureDetector detector;
     private final TableDifferences differences;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final HotNews hot;
     private final EndGossip ends;
     private final Set<Endpoint> seeds = new HashSet<>();
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RunState;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
@@ -27,7 +27,7 @@
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final CallTimes times;
     private final AnswerWriter answer;
     private final SuspectPass suspicion;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -2,7 +2,7 @@
 
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.once.KeyTable;
@@ -14,10 +14,10 @@
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final Host host;
 
-    private KeyedTry(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    private KeyedTry(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         this.server = server;
         this.local = local;
         this.call = call;
@@ -25,7 +25,7 @@
         this.host = host;
     }
 
-    static void begin(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    static void begin(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         KeyedTry keyed = new KeyedTry(server, local, call, serial, host);
         server.parts().keys().claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> keyed.claimed(c)));
     }
