--- a/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
@@ -86,7 +86,7 @@
                 channel.pipeline()
                         .addLast(new FlushConsolidationHandler(FLUSHES_MOST, true))
                         .addLast(new LengthFieldBasedFrameDecoder(
-                                FrameCodec.FRAME_MOST, 0, FrameCodec.LENGTH_BYTES, 0, FrameCodec.LENGTH_BYTES))
+                                FrameCodec.MAX_FRAME_BYTES, 0, FrameCodec.LENGTH_BYTES, 0, FrameCodec.LENGTH_BYTES))
                         .addLast(new FrameDecoder())
                         .addLast(new FrameEncoder())
                         .addLast(new PeerHandler(handlers.get(), counters));
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -28,7 +28,7 @@
     public static final int LENGTH_BYTES = 4;
 
     /** The largest frame, in bytes. */
-    public static final int FRAME_MOST = 4 * 1024 * 1024;
+    public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private static final int HEADERS_MOST = 256;
 
@@ -242,7 +242,7 @@
 
     static byte[] unpackBytes(MessageUnpacker u) throws IOException {
         int n = u.unpackBinaryHeader();
-        if (n > FRAME_MOST) {
+        if (n > MAX_FRAME_BYTES) {
             throw malformed(n + " bytes of payload");
         }
         return u.readPayload(n);
