--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
@@ -16,7 +16,7 @@
 import org.verbenadyke.node.http1.HttpExchange;
 import org.verbenadyke.node.http1.HttpServer;
 import org.verbenadyke.node.http1.ServerLimits;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.transport.EventLoops;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -63,7 +63,7 @@
      * @param timers the time
      * @return the store
      */
-    public static StoreStandIn listen(Endpoint endpoint, Loops loops, TimerService timers) {
+    public static StoreStandIn listen(Endpoint endpoint, EventLoops loops, TimerService timers) {
         StoreStandIn store = new StoreStandIn(timers);
         store.server = HttpServer.listen(endpoint, loops, timers, () -> LIMITS, store::handle);
         return store;
