--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -61,15 +61,15 @@
      *
      * @param path the file
      * @return the settings
-     * @throws SettingsProblems with everything that is wrong
+     * @throws InvalidSettingsException with everything that is wrong
      */
     public static NodeSettings read(Path path) {
         IniReader ini = IniReader.open(path);
         ini.checkSections(REQUIRED, KEYS.keySet());
         KEYS.forEach(ini::checkKeys);
         NodeSettings settings = new NodeSettings(
-                ini.needed("node", "id"),
-                new Location(ini.needed("node", "region"), ini.needed("node", "data-centre")),
+                ini.requiredText("node", "id"),
+                new Location(ini.requiredText("node", "region"), ini.requiredText("node", "data-centre")),
                 listen(ini, "peers"),
                 listen(ini, "entry"),
                 listen(ini, "local"),
@@ -81,13 +81,13 @@
                 ini.flag("node", "ledger", true),
                 (int) ini.number("node", "io-threads", 1, THREADS_MOST, DEFAULT_THREADS));
         if (!ini.problems().isEmpty()) {
-            throw SettingsProblems.of(ini.problems());
+            throw InvalidSettingsException.of(ini.problems());
         }
         return settings;
     }
 
     private static Endpoint listen(IniReader ini, String key) {
-        ini.needed("listen", key);
+        ini.requiredText("listen", key);
         return ini.endpoint("listen", key).orElse(UNSET);
     }
 
@@ -105,7 +105,7 @@
     private static boolean format(IniReader ini) {
         String format = ini.text("logging", "format").orElse("text");
         if (!format.equals("text") && !format.equals("json")) {
-            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "logging", "format", format, "must be text or json");
+            ini.addProblem(ErrorCode.SETTINGS_BAD_VALUE, "logging", "format", format, "must be text or json");
         }
         return format.equals("json");
     }
@@ -154,7 +154,7 @@
         Optional<String> value = ini.text("policy", key);
         if (value.isPresent() && !known.contains(value.get())) {
             String what = "must be one of " + known.stream().sorted().toList();
-            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), what);
+            ini.addProblem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), what);
             return otherwise;
         }
         return value.orElse(otherwise);
