--- a/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
@@ -121,7 +121,7 @@
      *
      * @param listener is told each time that a connection is refused
      */
-    public void onAbsent(Runnable listener) {
+    public void onConnectionRefused(Runnable listener) {
         absent = listener;
     }
 
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
@@ -76,7 +76,7 @@
     }
 
     /** Takes no more connections, closes the idle ones, and lets each other end after its current request. */
-    public void retire() {
+    public void shutdownGracefully() {
         closing = true;
         listener.close();
         sweep();
--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
@@ -86,7 +86,7 @@
 
     @Test
     void tellsThatNothingListensWhenAConnectionIsRefused() throws Exception {
-        pool.onAbsent(() -> told.add("absent"));
+        pool.onConnectionRefused(() -> told.add("absent"));
         server.close();
         send(pooled);
         assertEquals("absent", next());
--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
@@ -145,7 +145,7 @@
         calls.incrementAndGet();
         switch (fault) {
             case REFUSES -> answer(exchange, UNAVAILABLE, NOTHING);
-            case SILENT -> exchange.onGone(() -> {});
+            case SILENT -> exchange.onCallerDisconnected(() -> {});
             case GARBLES -> exchange.answer(OK, List.of(), new byte[] {1, 2, 3});
             case LOSES_ANSWERS -> perform(exchange, false);
             case NONE -> perform(exchange, true);
