--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
@@ -175,7 +175,7 @@
         }
 
         @Override
-        public String name(UpstreamPort.HandOver handOver) {
+        public String correlationId(UpstreamPort.HandOver handOver) {
             return "";
         }
 
@@ -185,8 +185,8 @@
         }
 
         @Override
-        public Verdict verdict(int status, List<HeaderField> fields) {
-            return Verdict.ANSWER;
+        public AnswerKind classify(int status, List<HeaderField> fields) {
+            return AnswerKind.ANSWER;
         }
 
         @Override
