--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -18,8 +18,8 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.trace.DecisionLog;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.QuarantinedRequestCodec;
 import org.verbenadyke.wire.MemberCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 
 /**
  * One node of the lab: the real decision logic on fake time and a fake net.
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
@@ -50,7 +50,8 @@
                 .forEach(s -> s.node()
                         .core()
                         .engine()
-                        .applyConfiguration(new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
+                        .applyConfiguration(
+                                new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
         this.caller = new LabCaller(lab);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -236,7 +236,10 @@
                         STREAM,
                         parts.codec().encode(snapshot),
                         r -> parts.counters()
-                                .count(r instanceof LogService.AppendResult.At ? Event.LOG_APPENDED : Event.LOG_FAILED));
+                                .count(
+                                        r instanceof LogService.AppendResult.At
+                                                ? Event.LOG_APPENDED
+                                                : Event.LOG_FAILED));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
@@ -4,8 +4,8 @@
 
 import org.verbenadyke.kernel.log.LogService;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
@@ -3,8 +3,8 @@
 import org.verbenadyke.kernel.follow.FollowDuty;
 import org.verbenadyke.kernel.membership.Gossip;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 
 /**
  * The node as the members' stream sees it.
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.admission.SlotLimit;
-import org.verbenadyke.kernel.config.ConfigStore;
 import org.verbenadyke.kernel.config.ConfigState;
+import org.verbenadyke.kernel.config.ConfigStore;
 import org.verbenadyke.kernel.config.Configuration;
 import org.verbenadyke.kernel.engine.Engine;
 import org.verbenadyke.kernel.engine.EngineParts;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -179,7 +179,8 @@
 
     RatioBudget ratio(Request request) {
         return ratios.computeIfAbsent(
-                new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.retryRatio(), settings.maxSavedRetries()));
+                new Pair(request.caller(), request.service()),
+                p -> RatioBudget.of(settings.retryRatio(), settings.maxSavedRetries()));
     }
 
     private static Optional<CallId> idOf(Message message) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -24,7 +24,11 @@
     private final Consumer<Attempt> lost;
 
     private Inquiry(
-            Dispatcher.Parts parts, Attempt attempt, SerialExecutor serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
+            Dispatcher.Parts parts,
+            Attempt attempt,
+            SerialExecutor serial,
+            BooleanSupplier wanted,
+            Consumer<Attempt> lost) {
         this.parts = parts;
         this.attempt = attempt;
         this.serial = serial;
@@ -34,7 +38,11 @@
 
     /** Asks, again and again until a link is had or nobody wants to know any more. */
     static void ask(
-            Dispatcher.Parts parts, Attempt attempt, SerialExecutor serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
+            Dispatcher.Parts parts,
+            Attempt attempt,
+            SerialExecutor serial,
+            BooleanSupplier wanted,
+            Consumer<Attempt> lost) {
         parts.counters().count(Event.INQUIRED);
         new Inquiry(parts, attempt, serial, wanted, lost).connect();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
@@ -75,7 +75,8 @@
          * @param records the records in order
          * @param complete whether nothing more stood on the log when it was read; false if that isn't known
          */
-        record Records(long firstOffset, long nextOffset, List<LogRecord> records, boolean complete) implements ReadResult {
+        record Records(long firstOffset, long nextOffset, List<LogRecord> records, boolean complete)
+                implements ReadResult {
             /**
              * Creates a page of which isn't known whether it is the last.
              *
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
@@ -70,7 +70,8 @@
         long now = timers.nanos();
         for (CrashReport r : ends.reports()) {
             long at = now - r.ageMillis() * NANOS_PER_MILLI;
-            r.requests().forEach(d -> quarantine.hear(new UpstreamCrash(d, r.upstream(), r.cleared(), at, ends.from())));
+            r.requests()
+                    .forEach(d -> quarantine.hear(new UpstreamCrash(d, r.upstream(), r.cleared(), at, ends.from())));
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -92,7 +92,8 @@
      * @param granted permits for the node that asked
      * @param availableAfterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
      */
-    record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis) implements Message {}
+    record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis)
+            implements Message {}
 
     /**
      * What an upstream gets.
@@ -159,7 +160,8 @@
      * @param retriesExhausted whether a failure was already retried as far as it may be, deeper in the chain
      * @param report the state of the answering node
      */
-    record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report) implements Message {}
+    record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report)
+            implements Message {}
 
     /**
      * A fragment of an answer's body.
@@ -238,7 +240,8 @@
      * @param vouchForPredecessors whether the former owner is also to say that nobody before it ran the key
      * @param key the key
      */
-    record KeyQuery(long ticket, String formerOwner, String newOwner, boolean vouchForPredecessors, String key) implements Message {}
+    record KeyQuery(long ticket, String formerOwner, String newOwner, boolean vouchForPredecessors, String key)
+            implements Message {}
 
     /**
      * Answers {@link KeyQuery}, once the key's outcome is known.
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -193,8 +193,8 @@
         }
         KeyTable.Known k = surrendered.get();
         k.outcome()
-                .accept(kept ->
-                        link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
+                .accept(kept -> link.send(
+                        new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -341,7 +341,8 @@
         if (may) {
             return QuarantineStatus.SOLE_SUSPECT;
         }
-        return new QuarantineStatus.Quarantined(suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
+        return new QuarantineStatus.Quarantined(
+                suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
     }
 
     private boolean held(Suspect suspect) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -134,7 +134,9 @@
                 told(
                         m.team(),
                         m.ticket(),
-                        m.fromAllocator() ? Optional.of(new Deal(m.granted(), m.availableAfterMillis())) : Optional.empty());
+                        m.fromAllocator()
+                                ? Optional.of(new Deal(m.granted(), m.availableAfterMillis()))
+                                : Optional.empty());
             default -> throw new IllegalArgumentException("no message about permits: " + message);
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
@@ -20,7 +20,8 @@
     private Subscription next;
     private boolean over;
 
-    private IdleTimeout(TimerService timers, long mostNanos, SerialExecutor serial, BooleanSupplier wanting, Runnable expired) {
+    private IdleTimeout(
+            TimerService timers, long mostNanos, SerialExecutor serial, BooleanSupplier wanting, Runnable expired) {
         this.timers = timers;
         this.mostNanos = mostNanos;
         this.serial = serial;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
@@ -6,8 +6,8 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RunState;
 import org.verbenadyke.kernel.ledger.Ledger;
-import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.once.KeyTable;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Settles a key after its try was handed over: the key is free again only when the upstream provably did not run the
@@ -21,11 +21,13 @@
     static void settle(
             KeyTable keys, Ledger ledger, String key, Optional<Refusal> refusal, StoredOutcome answer, long now) {
         boolean notRun = refusal.map(r -> r.state() == RunState.NOT_RUN)
-                .orElseGet(() ->
-                        answer.completeAnswer().filter(w -> w.status() == UNAVAILABLE).isPresent());
+                .orElseGet(() -> answer.completeAnswer()
+                        .filter(w -> w.status() == UNAVAILABLE)
+                        .isPresent());
         if (notRun) {
             ledger.keyFreed(key);
-            keys.withdraw(key, refusal.<StoredOutcome>map(StoredOutcome.NoAnswer::new).orElse(answer));
+            keys.withdraw(
+                    key, refusal.<StoredOutcome>map(StoredOutcome.NoAnswer::new).orElse(answer));
             return;
         }
         if (refusal.isPresent()) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -4,8 +4,8 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.once.KeyTable;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Claims the idempotency key of a call before it may wait for a slot, or gives it the outcome of an earlier try.
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
@@ -42,7 +42,8 @@
      * @param fault what is wrong with the key that it brought
      * @param heartbeatAgeMillis how long ago some node was known to read the operators' record, in milliseconds
      */
-    record CallerUnidentified(String request, long planVersion, String fault, long heartbeatAgeMillis) implements Decision {}
+    record CallerUnidentified(String request, long planVersion, String fault, long heartbeatAgeMillis)
+            implements Decision {}
 
     /**
      * A request got an upstream's answer that says that it failed.
@@ -103,7 +104,9 @@
      * @param targetIncarnation the incarnation of the process that the attempt was sent to
      * @param queriedIncarnation the incarnation of the process that is asked
      */
-    record StatusInquired(RequestId chain, CallId attempt, String upstream, long targetIncarnation, long queriedIncarnation) implements Decision {}
+    record StatusInquired(
+            RequestId chain, CallId attempt, String upstream, long targetIncarnation, long queriedIncarnation)
+            implements Decision {}
 
     /**
      * This node told what became of an attempt of which it holds nothing.
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -119,7 +119,9 @@
         end(runs.getLast());
         assertEquals(
                 List.of(),
-                quarantine.crashes(10).stream().filter(e -> e.reportedBy().isEmpty()).toList());
+                quarantine.crashes(10).stream()
+                        .filter(e -> e.reportedBy().isEmpty())
+                        .toList());
     }
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -76,7 +76,8 @@
 
     private LocalUpstream upstream(MemberRecord record) {
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
+        return LocalUpstream.of(
+                record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -112,7 +112,8 @@
         MemberRecord record = record(name, incarnation);
         table.merge(record, clock.nanos());
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
+        return LocalUpstream.of(
+                record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -121,7 +121,8 @@
         clock.advance(SECOND);
         quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
         decisions.clear();
-        QuarantineStatus.Quarantined held = assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
+        QuarantineStatus.Quarantined held =
+                assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
         Refusal refusal = quarantine.refusal(new RequestId(1, 2), held);
         assertEquals(new Refusal(RunState.NOT_RUN, RefusalReason.QUARANTINED, 79_001), refusal);
         assertEquals(
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -170,7 +170,8 @@
 
         private MemberRecord record(MemberState state) {
             Endpoint at = new Endpoint("h", number + 1);
-            return new MemberRecord("n" + number, incarnation, version, state, at, at, new Location("r", "d"), "s", 0, 0);
+            return new MemberRecord(
+                    "n" + number, incarnation, version, state, at, at, new Location("r", "d"), "s", 0, 0);
         }
 
         private void learn(Node other, MemberState state) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -42,7 +42,8 @@
     void tellsOfTheServiceThatRefusesMost() {
         heard("a-1", "a", "GET /x", 10, Message.DeeperLevel.NONE, 1_000);
         heard("b-1", "b", "GET /x", 30, Message.DeeperLevel.NONE, 1_000);
-        assertEquals("b", levels.strictestLevel(Set.of("a", "b", "c"), 1_010 * MILLI).service());
+        assertEquals(
+                "b", levels.strictestLevel(Set.of("a", "b", "c"), 1_010 * MILLI).service());
         assertEquals(Message.DeeperLevel.NONE, levels.strictestLevel(Set.of(), 1_010 * MILLI));
     }
 
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -35,8 +35,8 @@
 import org.verbenadyke.node.transport.SharedLoops;
 import org.verbenadyke.node.transport.UdpPort;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.QuarantinedRequestCodec;
 import org.verbenadyke.wire.MemberCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 
 import io.servicetalk.http.api.HttpExecutionStrategies;
 import io.servicetalk.http.api.HttpServerContext;
--- a/node/src/main/java/org/verbenadyke/node/NodeMain.java
+++ b/node/src/main/java/org/verbenadyke/node/NodeMain.java
@@ -7,9 +7,9 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.verbenadyke.kernel.error.VerbenadykeException;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 import org.verbenadyke.node.settings.NodeSettings;
 import org.verbenadyke.node.settings.NodeSettingsReader;
-import org.verbenadyke.node.settings.InvalidSettingsException;
 
 import picocli.CommandLine;
 
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -17,8 +17,8 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.plan.InvalidIntentsException;
 import org.verbenadyke.kernel.plan.ChangePlanner;
+import org.verbenadyke.kernel.plan.InvalidIntentsException;
 import org.verbenadyke.kernel.plan.ServiceView;
 import org.verbenadyke.kernel.routing.Candidate;
 
--- a/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
+++ b/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
@@ -12,8 +12,8 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
-import org.verbenadyke.kernel.plan.Intents;
 import org.verbenadyke.kernel.plan.ChangePlan;
+import org.verbenadyke.kernel.plan.Intents;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
@@ -60,7 +60,11 @@
      * @throws VerbenadykeException with {@link ErrorCode#PORT_IN_USE}
      */
     public static HttpServer listen(
-            Endpoint endpoint, EventLoops loops, TimerService timers, Supplier<ServerLimits> limits, HttpHandler handler) {
+            Endpoint endpoint,
+            EventLoops loops,
+            TimerService timers,
+            Supplier<ServerLimits> limits,
+            HttpHandler handler) {
         HttpServer server = new HttpServer(limits, handler, timers);
         ChannelFuture bound = new ServerBootstrap()
                 .group(loops.group())
--- a/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
+++ b/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
@@ -107,7 +107,8 @@
                     Optional.empty(),
                     Base64.getDecoder().decode(r.path("data").asText())));
         }
-        return new ReadResult.Records(node.path("first").asLong(), node.path("next").asLong(), records);
+        return new ReadResult.Records(
+                node.path("first").asLong(), node.path("next").asLong(), records);
     }
 
     private static JsonNode json(HttpResponse response) {
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -118,7 +118,8 @@
                 (int) ini.number("policy", "limit-least", 1, LIMIT_MOST, l.minimum()),
                 (int) ini.number("policy", "limit-most", 1, LIMIT_MOST, l.maximum()));
         DispatchSettings d = base.dispatch();
-        long percent = ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.retryRatio() * PERCENT));
+        long percent =
+                ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.retryRatio() * PERCENT));
         long after = ini.number("policy", "retry-after-ms", 0, RETRY_AFTER_MOST_MILLIS, d.retryAfterMillis());
         GateSettings gate = base.gate();
         return new Policy(
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -96,7 +96,8 @@
             case Message.Cancel m -> packId(p, m.id());
             case Message.Spend m -> packId(p, m.id()).packLong(m.ticket());
             case Message.Grant m -> packId(p, m.id()).packLong(m.ticket()).packBoolean(m.granted());
-            case Message.Inquire m -> packId(p, m.id()).packLong(m.targetIncarnation()).packLong(m.targetClock());
+            case Message.Inquire m ->
+                packId(p, m.id()).packLong(m.targetIncarnation()).packLong(m.targetClock());
             case Message.KeyQuery m ->
                 p.packLong(m.ticket())
                         .packString(m.formerOwner())
--- a/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
@@ -36,7 +36,8 @@
     static StoredOutcome unpack(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case WHOLE -> new StoredOutcome.CompleteAnswer(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
+            case WHOLE ->
+                new StoredOutcome.CompleteAnswer(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
             case LOST -> new StoredOutcome.NoAnswer(FrameCodec.unpackRefusal(u));
             default -> throw FrameCodec.malformed("kept answer " + kind);
         };
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -23,7 +23,8 @@
 /** Tests {@link FrameCodec}, with bytes changed at random too. */
 final class FrameCodecTest {
     private static final CallId ID = new CallId(-3, 9);
-    private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.DeeperLevel("deep", 4, 5));
+    private static final Message.Report REPORT =
+            new Message.Report(1, 2, 4, 3, true, new Message.DeeperLevel("deep", 4, 5));
     private static final List<HeaderField> HEADERS = List.of(new HeaderField("a", "b"), new HeaderField("ü", ""));
     private static final int CHANGES = 20_000;
 
@@ -53,8 +54,10 @@
             new Message.Inquire(ID, 3, 4),
             new Message.KeyQuery(1, "you", "me", true, "k"),
             new Message.KeyReply(1, new Message.KeyFact.Undetermined()),
-            new Message.KeyReply(1, new Message.KeyFact.Known(2, new StoredOutcome.CompleteAnswer(201, HEADERS, new byte[] {4}))),
-            new Message.KeyTransfer("k", 2, new StoredOutcome.NoAnswer(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
+            new Message.KeyReply(
+                    1, new Message.KeyFact.Known(2, new StoredOutcome.CompleteAnswer(201, HEADERS, new byte[] {4}))),
+            new Message.KeyTransfer(
+                    "k", 2, new StoredOutcome.NoAnswer(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
             new Message.KeyTransferEnd("u"),
             new Message.PlanRequest(),
             new Message.PlanReply(new byte[] {1, 2}),
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -64,10 +64,12 @@
         GossipMessage.CrashReports ends = new GossipMessage.CrashReports(
                 "n",
                 List.of(
-                        new CrashReport("u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
+                        new CrashReport(
+                                "u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
                         new CrashReport("u", true, 0, List.of())));
         assertEquals(ends, GossipCodec.decode(GossipCodec.encode(ends)));
-        GossipMessage.CrashReports odd = new GossipMessage.CrashReports("n", List.of(new CrashReport("u", false, -1, List.of())));
+        GossipMessage.CrashReports odd =
+                new GossipMessage.CrashReports("n", List.of(new CrashReport("u", false, -1, List.of())));
         byte[] bytes = GossipCodec.encode(odd);
         assertThrows(VerbenadykeException.class, () -> GossipCodec.decode(bytes));
     }
@@ -76,13 +78,19 @@
     void tellsHeldRequestsAndMembersOnTheLogApart() {
         QuarantinedRequest held = new QuarantinedRequest(
                 new RequestDigest(-1, 2, 3),
-                List.of(new QuarantinedRequest.Crash("u", false, 1_800_000_000_000L), new QuarantinedRequest.Crash("v", true, 5)));
+                List.of(
+                        new QuarantinedRequest.Crash("u", false, 1_800_000_000_000L),
+                        new QuarantinedRequest.Crash("v", true, 5)));
         byte[] heldBytes = QuarantinedRequestCodec.create().encode(held);
         byte[] memberBytes = MemberCodec.create().encode(member("a"));
         assertEquals(held, QuarantinedRequestCodec.create().decode(heldBytes));
         assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(heldBytes));
-        assertThrows(VerbenadykeException.class, () -> QuarantinedRequestCodec.create().decode(memberBytes));
-        assertThrows(VerbenadykeException.class, () -> QuarantinedRequestCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
+        assertThrows(
+                VerbenadykeException.class,
+                () -> QuarantinedRequestCodec.create().decode(memberBytes));
+        assertThrows(
+                VerbenadykeException.class,
+                () -> QuarantinedRequestCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
     }
 
     @Test
