--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -88,7 +88,8 @@
      *
      * @param ticket joins the answer to the question
      * @param team the team
-     * @param fromAllocator whether the sender deals the team's permits now; else it must be asked again, or another node
+     * @param fromAllocator whether the sender deals the team's permits now; else it must be asked again, or another
+     * node
      * @param granted permits for the node that asked
      * @param availableAfterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
      */
