--- a/wire/src/main/java/org/verbenadyke/wire/Buffers.java
+++ b/wire/src/main/java/org/verbenadyke/wire/Buffers.java
@@ -9,11 +9,12 @@
  * 8 KiB each would be most of what a call allocates.
  */
 final class Buffers {
-    private static final int PACK_BYTES = 512;
-    private static final int STRING_BYTES = 64;
-    private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(PACK_BYTES);
-    private static final MessagePack.UnpackerConfig UNPACKER =
-            new MessagePack.UnpackerConfig().withBufferSize(PACK_BYTES).withStringDecoderBufferSize(STRING_BYTES);
+    private static final int BUFFER_BYTES = 512;
+    private static final int STRING_BUFFER_BYTES = 64;
+    private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
+    private static final MessagePack.UnpackerConfig UNPACKER = new MessagePack.UnpackerConfig()
+            .withBufferSize(BUFFER_BYTES)
+            .withStringDecoderBufferSize(STRING_BUFFER_BYTES);
 
     private Buffers() {}
 
--- a/wire/src/main/java/org/verbenadyke/wire/ConfigCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/ConfigCodec.java
@@ -25,7 +25,7 @@
 public final class ConfigCodec implements RecordCodec<ConfigEntry> {
     private static final byte CHANGE = 0;
     private static final byte SNAPSHOT = 1;
-    private static final int ITEMS_MOST = 10_000;
+    private static final int MAX_ITEMS = 10_000;
 
     private ConfigCodec() {}
 
@@ -83,7 +83,7 @@
     static ConfigState unpackState(MessageUnpacker u) throws IOException {
         Configuration c = new Configuration(u.unpackLong(), u.unpackInt(), unpackRules(u), unpackNames(u));
         long offset = u.unpackLong();
-        int n = items(u);
+        int n = unpackCount(u);
         List<ConfigState.Decision> decisions = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             decisions.add(new ConfigState.Decision(
@@ -120,7 +120,7 @@
     }
 
     private static List<ImportanceRule> unpackRules(MessageUnpacker u) throws IOException {
-        int n = items(u);
+        int n = unpackCount(u);
         List<ImportanceRule> rules = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             rules.add(new ImportanceRule(
@@ -137,7 +137,7 @@
     }
 
     private static Set<String> unpackNames(MessageUnpacker u) throws IOException {
-        int n = items(u);
+        int n = unpackCount(u);
         Set<String> names = new TreeSet<>();
         for (int i = 0; i < n; i++) {
             names.add(u.unpackString());
@@ -145,9 +145,9 @@
         return Set.copyOf(names);
     }
 
-    private static int items(MessageUnpacker u) throws IOException {
+    private static int unpackCount(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
-        if (n > ITEMS_MOST) {
+        if (n > MAX_ITEMS) {
             throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, n + " items");
         }
         return n;
--- a/wire/src/main/java/org/verbenadyke/wire/EndReports.java
+++ b/wire/src/main/java/org/verbenadyke/wire/CrashReportCodec.java
@@ -14,11 +14,11 @@
 /**
  * Encodes reports of upstreams that ended.
  */
-final class EndReports {
+final class CrashReportCodec {
     /** More than fit into a datagram; a longer list is no list of a node. */
-    private static final int MOST = 4_096;
+    private static final int MAX_ITEMS = 4_096;
 
-    private EndReports() {}
+    private CrashReportCodec() {}
 
     static void pack(MessagePacker p, List<EndReport> reports) throws IOException {
         p.packArrayHeader(reports.size());
@@ -40,16 +40,16 @@
     }
 
     static List<EndReport> unpack(MessageUnpacker u) throws IOException {
-        int n = count(u);
+        int n = unpackCount(u);
         List<EndReport> reports = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            reports.add(new EndReport(u.unpackString(), u.unpackBoolean(), age(u.unpackInt()), digests(u)));
+            reports.add(new EndReport(u.unpackString(), u.unpackBoolean(), checkedAge(u.unpackInt()), digests(u)));
         }
         return reports;
     }
 
     private static List<RequestDigest> digests(MessageUnpacker u) throws IOException {
-        int n = count(u);
+        int n = unpackCount(u);
         List<RequestDigest> digests = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             digests.add(unpackDigest(u));
@@ -57,15 +57,15 @@
         return digests;
     }
 
-    private static int count(MessageUnpacker u) throws IOException {
+    private static int unpackCount(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
-        if (n > MOST) {
+        if (n > MAX_ITEMS) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " ends");
         }
         return n;
     }
 
-    private static int age(int millis) {
+    private static int checkedAge(int millis) {
         if (millis < 0) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "an age of " + millis + " ms");
         }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -30,7 +30,7 @@
     /** The largest frame, in bytes. */
     public static final int FRAME_MOST = 4 * 1024 * 1024;
 
-    private static final int HEADERS_MOST = 256;
+    private static final int MAX_HEADERS = 256;
 
     private FrameCodec() {}
 
@@ -59,7 +59,7 @@
      */
     public static Message decode(byte[] frame) {
         try (MessageUnpacker u = Buffers.unpacker(frame)) {
-            Message message = unpack(u, FrameType.numbered(u.unpackByte()));
+            Message message = unpack(u, FrameType.ofNumber(u.unpackByte()));
             if (u.hasNext()) {
                 throw malformed("bytes after the message");
             }
@@ -105,11 +105,11 @@
                         .packString(m.key());
             case Message.KeyTold m -> {
                 p.packLong(m.ticket());
-                KeptAnswerCodec.packFact(p, m.fact());
+                IdempotencyKeyCodec.packFact(p, m.fact());
             }
             case Message.KeyHandOn m -> {
                 p.packString(m.key()).packLong(m.fingerprint());
-                KeptAnswerCodec.pack(p, m.outcome());
+                IdempotencyKeyCodec.pack(p, m.outcome());
             }
             case Message.KeysHandedOn m -> p.packString(m.upstream());
             case Message.PlanWanted m -> p.packNil();
@@ -137,8 +137,8 @@
             case KEY_ASK ->
                 new Message.KeyAsk(
                         u.unpackLong(), u.unpackString(), u.unpackString(), u.unpackBoolean(), u.unpackString());
-            case KEY_TOLD -> new Message.KeyTold(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
-            case KEY_HAND_ON -> new Message.KeyHandOn(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
+            case KEY_TOLD -> new Message.KeyTold(u.unpackLong(), IdempotencyKeyCodec.unpackFact(u));
+            case KEY_HAND_ON -> new Message.KeyHandOn(u.unpackString(), u.unpackLong(), IdempotencyKeyCodec.unpack(u));
             case KEYS_HANDED_ON -> new Message.KeysHandedOn(u.unpackString());
             case PLAN_WANTED -> {
                 u.unpackNil();
@@ -197,7 +197,7 @@
 
     static List<HeaderField> unpackHeaders(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
-        if (n > HEADERS_MOST) {
+        if (n > MAX_HEADERS) {
             throw malformed(n + " header fields");
         }
         List<HeaderField> headers = new ArrayList<>(n);
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -39,7 +39,7 @@
         return (byte) ordinal();
     }
 
-    static FrameType numbered(byte number) {
+    static FrameType ofNumber(byte number) {
         if (number < 0 || number >= ALL.length) {
             throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, "type " + number);
         }
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -68,7 +68,7 @@
      */
     public static GossipMessage decode(byte[] bytes, Consumer<String> skipped) {
         try (MessageUnpacker u = Buffers.unpacker(bytes)) {
-            return unpack(u, new RecordList(bytes, skipped));
+            return unpack(u, new MemberRecordUnpacker(bytes, skipped));
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "its bytes are no datagram of a node");
         }
@@ -110,12 +110,12 @@
             }
             case GossipMessage.Ends m -> {
                 p.packByte(ENDS).packString(m.from());
-                EndReports.pack(p, m.reports());
+                CrashReportCodec.pack(p, m.reports());
             }
         }
     }
 
-    private static GossipMessage unpack(MessageUnpacker u, RecordList records) throws IOException {
+    private static GossipMessage unpack(MessageUnpacker u, MemberRecordUnpacker records) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
             case RUMOR -> new GossipMessage.Rumor(u.unpackString(), u.unpackLong(), unpackView(u), records.unpack(u));
@@ -126,7 +126,7 @@
             case BUCKETS -> new GossipMessage.Buckets(u.unpackString(), u.unpackBoolean(), unpackDigests(u));
             case RECORDS -> new GossipMessage.Records(records.unpack(u));
             case CONFIG_WANTED -> new GossipMessage.ConfigWanted(u.unpackString());
-            case ENDS -> new GossipMessage.Ends(u.unpackString(), EndReports.unpack(u));
+            case ENDS -> new GossipMessage.Ends(u.unpackString(), CrashReportCodec.unpack(u));
             case CONFIG_NEWS -> new GossipMessage.ConfigNews(ConfigCodec.unpackState(u));
             default -> throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "datagram of type " + kind);
         };
--- a/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
@@ -18,10 +18,10 @@
  * of a member, which begins with a name.
  */
 public final class HeldCodec implements RecordCodec<HeldRequest> {
-    private static final int LAYOUT = 1;
+    private static final int LAYOUT_VERSION = 1;
 
     /** More than the trials of some days; a longer list is no list of a node. */
-    private static final int ENDS_MOST = 1_024;
+    private static final int MAX_CRASHES = 1_024;
 
     private HeldCodec() {}
 
@@ -37,8 +37,8 @@
     @Override
     public byte[] encode(HeldRequest record) {
         try (MessageBufferPacker p = Buffers.packer()) {
-            p.packInt(LAYOUT);
-            EndReports.pack(p, record.request());
+            p.packInt(LAYOUT_VERSION);
+            CrashReportCodec.pack(p, record.request());
             p.packArrayHeader(record.ends().size());
             for (HeldRequest.End e : record.ends()) {
                 p.packString(e.upstream()).packBoolean(e.cleared()).packLong(e.atMillis());
@@ -53,9 +53,9 @@
     public HeldRequest decode(byte[] bytes) {
         try (MessageUnpacker u = Buffers.unpacker(bytes)) {
             int layout = u.unpackInt();
-            RequestDigest request = EndReports.unpackDigest(u);
+            RequestDigest request = CrashReportCodec.unpackDigest(u);
             int n = u.unpackArrayHeader();
-            if (layout != LAYOUT || n > ENDS_MOST) {
+            if (layout != LAYOUT_VERSION || n > MAX_CRASHES) {
                 throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " ends");
             }
             List<HeldRequest.End> ends = new ArrayList<>();
--- a/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/IdempotencyKeyCodec.java
@@ -10,14 +10,14 @@
 /**
  * Encodes what is known of keys.
  */
-final class KeptAnswerCodec {
+final class IdempotencyKeyCodec {
     private static final byte WHOLE = 0;
     private static final byte LOST = 1;
     private static final byte UNKNOWN = 0;
     private static final byte UNSURE = 1;
     private static final byte KNOWN = 2;
 
-    private KeptAnswerCodec() {}
+    private IdempotencyKeyCodec() {}
 
     static void pack(MessagePacker p, KeptAnswer answer) throws IOException {
         switch (answer) {
--- a/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
@@ -19,16 +19,16 @@
  */
 public final class MemberCodec implements RecordCodec<MemberRecord> {
     /** How many values a packed record has. */
-    static final int VALUES = 13;
+    static final int VALUES_PER_RECORD = 13;
 
     /**
      * The highest incarnation, version or epoch that is taken: no count of a node gets there, and a record near the end
      * of its type could never be outranked by the node that it names.
      */
-    private static final long COUNT_MOST = Long.MAX_VALUE / 2;
+    private static final long MAX_COUNTER = Long.MAX_VALUE / 2;
 
-    private static final int EPOCH_MOST = Integer.MAX_VALUE / 2;
-    private static final int PORT_MOST = 65_535;
+    private static final int MAX_EPOCH = Integer.MAX_VALUE / 2;
+    private static final int MAX_PORT = 65_535;
 
     private MemberCodec() {}
 
@@ -81,25 +81,25 @@
                 u.unpackString(),
                 u.unpackLong(),
                 u.unpackInt());
-        if (!usable(record)) {
+        if (!isValid(record)) {
             throw VerbenadykeException.of(
                     ErrorCode.RECORD_UNREADABLE, "values out of range in that of '" + record.nodeId() + "'");
         }
         return record;
     }
 
-    private static boolean usable(MemberRecord r) {
+    private static boolean isValid(MemberRecord r) {
         return !r.nodeId().isEmpty()
-                && count(r.incarnation(), COUNT_MOST)
-                && count(r.version(), COUNT_MOST)
-                && count(r.epoch(), EPOCH_MOST)
+                && inRange(r.incarnation(), MAX_COUNTER)
+                && inRange(r.version(), MAX_COUNTER)
+                && inRange(r.epoch(), MAX_EPOCH)
                 && !r.endpoint().host().isEmpty()
                 && r.endpoint().port() > 0
-                && r.endpoint().port() <= PORT_MOST
-                && count(r.control().port(), PORT_MOST);
+                && r.endpoint().port() <= MAX_PORT
+                && inRange(r.control().port(), MAX_PORT);
     }
 
-    private static boolean count(long value, long most) {
+    private static boolean inRange(long value, long most) {
         return value >= 0 && value <= most;
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/RecordList.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberRecordUnpacker.java
@@ -16,20 +16,20 @@
  * Unpacks the member records that end a datagram. A record with a value of another type or out of range is left out; as
  * each record has the same number of values, the next begins after them.
  */
-final class RecordList {
-    private static final int RECORDS_MOST = 1_000;
+final class MemberRecordUnpacker {
+    private static final int MAX_RECORDS = 1_000;
 
     private final byte[] datagram;
     private final Consumer<String> skipped;
 
-    RecordList(byte[] datagram, Consumer<String> skipped) {
+    MemberRecordUnpacker(byte[] datagram, Consumer<String> skipped) {
         this.datagram = datagram;
         this.skipped = skipped;
     }
 
     List<MemberRecord> unpack(MessageUnpacker first) throws IOException {
         int n = first.unpackArrayHeader();
-        if (n > RECORDS_MOST) {
+        if (n > MAX_RECORDS) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " records");
         }
         List<MemberRecord> records = new ArrayList<>(n);
@@ -41,7 +41,7 @@
                 records.add(MemberCodec.unpack(in));
             } catch (MessagePackException | IndexOutOfBoundsException | VerbenadykeException e) {
                 skipped.accept(String.valueOf(e.getMessage()));
-                Optional<MessageUnpacker> after = after(start);
+                Optional<MessageUnpacker> after = skipRecord(start);
                 if (after.isEmpty()) {
                     return records;
                 }
@@ -53,10 +53,10 @@
     }
 
     /** Goes on after the record that begins at some byte, unless the datagram ends in it. */
-    private Optional<MessageUnpacker> after(int start) throws IOException {
+    private Optional<MessageUnpacker> skipRecord(int start) throws IOException {
         MessageUnpacker in = Buffers.unpacker(datagram, start);
         try {
-            in.skipValue(MemberCodec.VALUES);
+            in.skipValue(MemberCodec.VALUES_PER_RECORD);
             return Optional.of(in);
         } catch (MessagePackException e) {
             skipped.accept("all that follows: " + e.getMessage());
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -25,7 +25,7 @@
     private static final CallId ID = new CallId(-3, 9);
     private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.Below("deep", 4, 5));
     private static final List<HeaderField> HEADERS = List.of(new HeaderField("a", "b"), new HeaderField("ü", ""));
-    private static final int CHANGES = 20_000;
+    private static final int MUTATED_FRAMES = 20_000;
 
     private final List<Message> messages = List.of(
             new Message.Hello(1, "n", 5),
@@ -84,7 +84,7 @@
     @Test
     void aChangedFrameIsDecodedOrRejectedButNothingElse() {
         SplittableRandom random = new SplittableRandom(11);
-        for (int i = 0; i < CHANGES; i++) {
+        for (int i = 0; i < MUTATED_FRAMES; i++) {
             byte[] frame = FrameCodec.encode(messages.get(random.nextInt(messages.size())));
             int changes = 1 + random.nextInt(3);
             for (int c = 0; c < changes; c++) {
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -32,8 +32,8 @@
     private static final int TRIES = 5_000;
 
     @ParameterizedTest
-    @EnumSource(Odd.class)
-    void takesTheRecordsBesideAnOddOne(Odd odd) throws IOException {
+    @EnumSource(Invalid.class)
+    void takesTheRecordsBesideAnOddOne(Invalid odd) throws IOException {
         GossipMessage.Records decoded = (GossipMessage.Records) GossipCodec.decode(datagram(odd));
         assertEquals(
                 List.of("a", "c"),
@@ -41,10 +41,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Odd.class)
-    void refusesAnOddRecordAlone(Odd odd) throws IOException {
+    @EnumSource(Invalid.class)
+    void refusesAnOddRecordAlone(Invalid odd) throws IOException {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            packOdd(p, odd);
+            packInvalid(p, odd);
             byte[] bytes = p.toByteArray();
             assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(bytes));
         }
@@ -113,18 +113,18 @@
         }
     }
 
-    private static byte[] datagram(Odd odd) throws IOException {
+    private static byte[] datagram(Invalid odd) throws IOException {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
             p.packByte(RECORDS).packArrayHeader(3);
             p.addPayload(MemberCodec.create().encode(member("a")));
-            packOdd(p, odd);
+            packInvalid(p, odd);
             p.addPayload(MemberCodec.create().encode(member("c")));
             return p.toByteArray();
         }
     }
 
     /** Packs a record's fields in their order, one of them odd. */
-    private static void packOdd(MessageBufferPacker p, Odd odd) throws IOException {
+    private static void packInvalid(MessageBufferPacker p, Invalid odd) throws IOException {
         List<Object> fields = new ArrayList<>(
                 List.of("b", 1L << 60, 0L, 0L, "127.0.0.1", 80L, "127.0.0.1", 81L, "r", "d", "s", 5L, 0L));
         fields.set(odd.field, odd.value);
@@ -143,7 +143,7 @@
     }
 
     /** What may be odd in a record. */
-    private enum Odd {
+    private enum Invalid {
         ID_OF_ANOTHER_TYPE(0, 7L),
         ID_EMPTY(0, ""),
         INCARNATION_OF_ANOTHER_TYPE(1, "x"),
@@ -170,7 +170,7 @@
         private final int field;
         private final Object value;
 
-        Odd(int field, Object value) {
+        Invalid(int field, Object value) {
             this.field = field;
             this.value = value;
         }
