--- a/wire/src/main/java/org/verbenadyke/wire/Buffers.java
+++ b/wire/src/main/java/org/verbenadyke/wire/Buffers.java
@@ -5,8 +5,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Makes packers and unpackers with small buffers: most frames are a few hundred bytes, and the library's own buffers of
- * 8 KiB each would be most of what a call allocates.
+ * Creates MessagePack packers and unpackers with small buffers: most frames are a few hundred bytes, and the library's
+ * default buffers of 8 KiB each would be most of what a call allocates.
  */
 final class Buffers {
     private static final int BUFFER_BYTES = 512;
@@ -26,7 +26,7 @@
         return unpacker(bytes, 0);
     }
 
-    static MessageUnpacker unpacker(byte[] bytes, int from) {
-        return UNPACKER.newUnpacker(bytes, from, bytes.length - from);
+    static MessageUnpacker unpacker(byte[] bytes, int offset) {
+        return UNPACKER.newUnpacker(bytes, offset, bytes.length - offset);
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/CrashReportCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/CrashReportCodec.java
@@ -12,10 +12,10 @@
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
- * Encodes reports of upstreams that ended.
+ * Encodes reports of crashed upstreams.
  */
 final class CrashReportCodec {
-    /** More than fit into a datagram; a longer list is no list of a node. */
+    /** More items than fit into a datagram, so that no node sends a longer list. */
     private static final int MAX_ITEMS = 4_096;
 
     private CrashReportCodec() {}
@@ -60,7 +60,7 @@
     private static int unpackCount(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
         if (n > MAX_ITEMS) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " ends");
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " items");
         }
         return n;
     }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -20,11 +20,11 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Encodes the messages between nodes as MessagePack: the type's number, then its fields in order. On the wire each is
- * preceded by its length in four bytes; see {@link #LENGTH_BYTES}.
+ * Encodes the messages between nodes as MessagePack: the type's number, then its fields in order. On the wire each
+ * message is preceded by its length in four bytes; see {@link #LENGTH_BYTES}.
  */
 public final class FrameCodec {
-    /** The length field before each frame, in bytes. */
+    /** The size of the length field that precedes each frame, in bytes. */
     public static final int LENGTH_BYTES = 4;
 
     /** The largest frame, in bytes. */
@@ -248,7 +248,7 @@
         return u.readPayload(n);
     }
 
-    static VerbenadykeException malformed(String what) {
-        return VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, what);
+    static VerbenadykeException malformed(String detail) {
+        return VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, detail);
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * The numbers of the message types on the wire. Numbers are never given to another type.
+ * The numbers of the message types on the wire. The number of a type is never reused for another type.
  */
 enum FrameType {
     HELLO,
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -48,21 +48,21 @@
     }
 
     /**
-     * Decodes a datagram. An odd record in it is left out; the others hold.
+     * Decodes a datagram. Invalid member records in it are left out and do not affect the others.
      *
      * @param bytes its bytes
      * @return the message
      * @throws VerbenadykeException with {@link ErrorCode#RECORD_UNREADABLE}
      */
     public static GossipMessage decode(byte[] bytes) {
-        return decode(bytes, why -> {});
+        return decode(bytes, reason -> {});
     }
 
     /**
-     * Decodes a datagram. An odd record in it is left out; the others hold.
+     * Decodes a datagram. Invalid member records in it are left out and do not affect the others.
      *
      * @param bytes its bytes
-     * @param skipped is told of each record that is left out what is wrong with it
+     * @param skipped called for each record that is left out, with the reason
      * @return the message
      * @throws VerbenadykeException with {@link ErrorCode#RECORD_UNREADABLE}
      */
@@ -70,7 +70,7 @@
         try (MessageUnpacker u = Buffers.unpacker(bytes)) {
             return unpack(u, new MemberRecordUnpacker(bytes, skipped));
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "its bytes are no datagram of a node");
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "the bytes are not a datagram of a node");
         }
     }
 
--- a/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/HeldCodec.java
@@ -14,13 +14,13 @@
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
- * Encodes requests that are held back, for the log. A record begins with a number, so that it can't be taken for that
- * of a member, which begins with a name.
+ * Encodes quarantined requests for the log. A record begins with a number, so that it can't be mistaken for a member
+ * record, which begins with a name.
  */
 public final class HeldCodec implements RecordCodec<HeldRequest> {
     private static final int LAYOUT_VERSION = 1;
 
-    /** More than the trials of some days; a longer list is no list of a node. */
+    /** More crashes than the trials of some days can cause, so that no node writes a longer list. */
     private static final int MAX_CRASHES = 1_024;
 
     private HeldCodec() {}
@@ -56,7 +56,7 @@
             RequestDigest request = CrashReportCodec.unpackDigest(u);
             int n = u.unpackArrayHeader();
             if (layout != LAYOUT_VERSION || n > MAX_CRASHES) {
-                throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " ends");
+                throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " crashes");
             }
             List<HeldRequest.End> ends = new ArrayList<>();
             for (int i = 0; i < n; i++) {
@@ -64,7 +64,7 @@
             }
             return new HeldRequest(request, ends);
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "its bytes are no held request");
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "the bytes are not a quarantined request");
         }
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/IdempotencyKeyCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/IdempotencyKeyCodec.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.once.KeptAnswer;
 
 /**
- * Encodes what is known of keys.
+ * Encodes what nodes know of idempotency keys, and the stored answers to requests with such keys.
  */
 final class IdempotencyKeyCodec {
     private static final byte WHOLE = 0;
@@ -38,7 +38,7 @@
         return switch (kind) {
             case WHOLE -> new KeptAnswer.Whole(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
             case LOST -> new KeptAnswer.Lost(FrameCodec.unpackRefusal(u));
-            default -> throw FrameCodec.malformed("kept answer " + kind);
+            default -> throw FrameCodec.malformed("stored answer " + kind);
         };
     }
 
@@ -59,7 +59,7 @@
             case UNKNOWN -> new Message.KeyFact.Unknown();
             case UNSURE -> new Message.KeyFact.Unsure();
             case KNOWN -> new Message.KeyFact.Known(u.unpackLong(), unpack(u));
-            default -> throw FrameCodec.malformed("key fact " + kind);
+            default -> throw FrameCodec.malformed("state of a key " + kind);
         };
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
@@ -18,16 +18,18 @@
  * Encodes member records for the log and for gossip.
  */
 public final class MemberCodec implements RecordCodec<MemberRecord> {
-    /** How many values a packed record has. */
+    /** The number of values in a packed record. */
     static final int VALUES_PER_RECORD = 13;
 
     /**
-     * The highest incarnation, version or epoch that is taken: no count of a node gets there, and a record near the end
-     * of its type could never be outranked by the node that it names.
+     * The highest accepted incarnation or version, half the range of the type: no node counts that far, and a record
+     * with a value near the end of the range could never be superseded by the node that it names.
      */
     private static final long MAX_COUNTER = Long.MAX_VALUE / 2;
 
+    /** The highest accepted epoch, for the same reason as {@link #MAX_COUNTER}. */
     private static final int MAX_EPOCH = Integer.MAX_VALUE / 2;
+
     private static final int MAX_PORT = 65_535;
 
     private MemberCodec() {}
@@ -56,7 +58,7 @@
         try (MessageUnpacker u = Buffers.unpacker(bytes)) {
             return unpack(u);
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "its bytes are no member record");
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "the bytes are not a member record");
         }
     }
 
@@ -83,7 +85,8 @@
                 u.unpackInt());
         if (!isValid(record)) {
             throw VerbenadykeException.of(
-                    ErrorCode.RECORD_UNREADABLE, "values out of range in that of '" + record.nodeId() + "'");
+                    ErrorCode.RECORD_UNREADABLE,
+                    "values out of range in the member record of '" + record.nodeId() + "'");
         }
         return record;
     }
@@ -99,7 +102,7 @@
                 && inRange(r.control().port(), MAX_PORT);
     }
 
-    private static boolean inRange(long value, long most) {
-        return value >= 0 && value <= most;
+    private static boolean inRange(long value, long max) {
+        return value >= 0 && value <= max;
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/MemberRecordUnpacker.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberRecordUnpacker.java
@@ -13,8 +13,8 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 
 /**
- * Unpacks the member records that end a datagram. A record with a value of another type or out of range is left out; as
- * each record has the same number of values, the next begins after them.
+ * Unpacks the member records at the end of a datagram. A record with a value of the wrong type or out of range is left
+ * out; since each record has the same number of values, the next record begins after them.
  */
 final class MemberRecordUnpacker {
     private static final int MAX_RECORDS = 1_000;
@@ -33,33 +33,33 @@
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " records");
         }
         List<MemberRecord> records = new ArrayList<>(n);
-        MessageUnpacker in = first;
+        MessageUnpacker unpacker = first;
         int base = 0;
         for (int i = 0; i < n; i++) {
-            int start = base + (int) in.getTotalReadBytes();
+            int start = base + (int) unpacker.getTotalReadBytes();
             try {
-                records.add(MemberCodec.unpack(in));
+                records.add(MemberCodec.unpack(unpacker));
             } catch (MessagePackException | IndexOutOfBoundsException | VerbenadykeException e) {
                 skipped.accept(String.valueOf(e.getMessage()));
-                Optional<MessageUnpacker> after = skipRecord(start);
-                if (after.isEmpty()) {
+                Optional<MessageUnpacker> next = skipRecord(start);
+                if (next.isEmpty()) {
                     return records;
                 }
-                in = after.get();
+                unpacker = next.get();
                 base = start;
             }
         }
         return records;
     }
 
-    /** Goes on after the record that begins at some byte, unless the datagram ends in it. */
+    /** Returns an unpacker after the record that begins at an offset, empty if the datagram ends within the record. */
     private Optional<MessageUnpacker> skipRecord(int start) throws IOException {
-        MessageUnpacker in = Buffers.unpacker(datagram, start);
+        MessageUnpacker unpacker = Buffers.unpacker(datagram, start);
         try {
-            in.skipValue(MemberCodec.VALUES_PER_RECORD);
-            return Optional.of(in);
+            unpacker.skipValue(MemberCodec.VALUES_PER_RECORD);
+            return Optional.of(unpacker);
         } catch (MessagePackException e) {
-            skipped.accept("all that follows: " + e.getMessage());
+            skipped.accept("all records that follow: " + e.getMessage());
             return Optional.empty();
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Encodes the messages about teams' permits.
+ * Encodes the messages by which nodes allocate permits under teams' limits.
  */
 final class QuotaCodec {
     private QuotaCodec() {}
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -20,7 +20,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-/** Tests {@link FrameCodec}, with bytes changed at random too. */
+/** Tests {@link FrameCodec}, also with randomly changed bytes. */
 final class FrameCodecTest {
     private static final CallId ID = new CallId(-3, 9);
     private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.Below("deep", 4, 5));
@@ -62,7 +62,7 @@
             new Message.QuotaTold(1L << 40, "team", true, 5, 6));
 
     @Test
-    void everyMessageComesBackAsItWas() {
+    void everyMessageIsDecodedAsEncoded() {
         for (Message m : messages) {
             byte[] frame = FrameCodec.encode(m);
             assertArrayEquals(
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aChangedFrameIsDecodedOrRejectedButNothingElse() {
+    void aChangedFrameIsDecodedOrRejectedAsMalformed() {
         SplittableRandom random = new SplittableRandom(11);
         for (int i = 0; i < MUTATED_FRAMES; i++) {
             byte[] frame = FrameCodec.encode(messages.get(random.nextInt(messages.size())));
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -25,7 +25,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-/** Tests {@link GossipCodec} and {@link MemberCodec} with records that are not as a node writes them. */
+/** Tests {@link GossipCodec} and {@link MemberCodec}, mainly with invalid records. */
 final class GossipCodecTest {
     private static final byte RECORDS = 5;
     private static final int SEED = 42;
@@ -33,8 +33,8 @@
 
     @ParameterizedTest
     @EnumSource(Invalid.class)
-    void takesTheRecordsBesideAnOddOne(Invalid odd) throws IOException {
-        GossipMessage.Records decoded = (GossipMessage.Records) GossipCodec.decode(datagram(odd));
+    void decodesTheRecordsAroundAnInvalidOne(Invalid invalid) throws IOException {
+        GossipMessage.Records decoded = (GossipMessage.Records) GossipCodec.decode(datagram(invalid));
         assertEquals(
                 List.of("a", "c"),
                 decoded.records().stream().map(MemberRecord::nodeId).toList());
@@ -42,16 +42,16 @@
 
     @ParameterizedTest
     @EnumSource(Invalid.class)
-    void refusesAnOddRecordAlone(Invalid odd) throws IOException {
+    void rejectsAnInvalidRecordAlone(Invalid invalid) throws IOException {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-            packInvalid(p, odd);
+            packInvalid(p, invalid);
             byte[] bytes = p.toByteArray();
             assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(bytes));
         }
     }
 
     @Test
-    void takesAllRecordsThatAreAsANodeWritesThem() {
+    void decodesAllValidRecords() {
         GossipMessage.Rumor rumor = new GossipMessage.Rumor(
                 "n", 7, new GossipMessage.View(1, 2, 3, 4, 5), List.of(member("a"), member("b"), member("c")));
         assertEquals(rumor, GossipCodec.decode(GossipCodec.encode(rumor)));
@@ -60,38 +60,38 @@
     }
 
     @Test
-    void takesReportsOfEndsAsANodeWritesThem() {
+    void decodesCrashReportsAndRejectsANegativeAge() {
         GossipMessage.Ends ends = new GossipMessage.Ends(
                 "n",
                 List.of(
                         new EndReport("u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
                         new EndReport("u", true, 0, List.of())));
         assertEquals(ends, GossipCodec.decode(GossipCodec.encode(ends)));
-        GossipMessage.Ends odd = new GossipMessage.Ends("n", List.of(new EndReport("u", false, -1, List.of())));
-        byte[] bytes = GossipCodec.encode(odd);
+        GossipMessage.Ends invalid = new GossipMessage.Ends("n", List.of(new EndReport("u", false, -1, List.of())));
+        byte[] bytes = GossipCodec.encode(invalid);
         assertThrows(VerbenadykeException.class, () -> GossipCodec.decode(bytes));
     }
 
     @Test
-    void tellsHeldRequestsAndMembersOnTheLogApart() {
-        HeldRequest held = new HeldRequest(
+    void distinguishesQuarantinedRequestsFromMembersOnTheLog() {
+        HeldRequest quarantined = new HeldRequest(
                 new RequestDigest(-1, 2, 3),
                 List.of(new HeldRequest.End("u", false, 1_800_000_000_000L), new HeldRequest.End("v", true, 5)));
-        byte[] heldBytes = HeldCodec.create().encode(held);
+        byte[] quarantinedBytes = HeldCodec.create().encode(quarantined);
         byte[] memberBytes = MemberCodec.create().encode(member("a"));
-        assertEquals(held, HeldCodec.create().decode(heldBytes));
-        assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(heldBytes));
+        assertEquals(quarantined, HeldCodec.create().decode(quarantinedBytes));
+        assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(quarantinedBytes));
         assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(memberBytes));
-        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
+        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(Arrays.copyOf(quarantinedBytes, 9)));
     }
 
     @Test
     void garbledDatagramsGiveATypedError() {
         SplittableRandom random = new SplittableRandom(SEED);
         for (int i = 0; i < TRIES; i++) {
-            byte[] whole = GossipCodec.encode(new GossipMessage.Records(List.of(member("a"), member("b"))));
-            whole[random.nextInt(whole.length)] = (byte) random.nextInt();
-            decodes(Arrays.copyOf(whole, whole.length - random.nextInt(whole.length)));
+            byte[] datagram = GossipCodec.encode(new GossipMessage.Records(List.of(member("a"), member("b"))));
+            datagram[random.nextInt(datagram.length)] = (byte) random.nextInt();
+            decodesOrRejects(Arrays.copyOf(datagram, datagram.length - random.nextInt(datagram.length)));
         }
     }
 
@@ -101,11 +101,11 @@
         for (int i = 0; i < TRIES; i++) {
             byte[] bytes = new byte[random.nextInt(80)];
             random.nextBytes(bytes);
-            decodes(bytes);
+            decodesOrRejects(bytes);
         }
     }
 
-    private static void decodes(byte[] bytes) {
+    private static void decodesOrRejects(byte[] bytes) {
         try {
             assertNotNull(GossipCodec.decode(bytes));
         } catch (VerbenadykeException e) {
@@ -113,21 +113,21 @@
         }
     }
 
-    private static byte[] datagram(Invalid odd) throws IOException {
+    private static byte[] datagram(Invalid invalid) throws IOException {
         try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
             p.packByte(RECORDS).packArrayHeader(3);
             p.addPayload(MemberCodec.create().encode(member("a")));
-            packInvalid(p, odd);
+            packInvalid(p, invalid);
             p.addPayload(MemberCodec.create().encode(member("c")));
             return p.toByteArray();
         }
     }
 
-    /** Packs a record's fields in their order, one of them odd. */
-    private static void packInvalid(MessageBufferPacker p, Invalid odd) throws IOException {
+    /** Packs the fields of a record in order, one of them with an invalid value. */
+    private static void packInvalid(MessageBufferPacker p, Invalid invalid) throws IOException {
         List<Object> fields = new ArrayList<>(
                 List.of("b", 1L << 60, 0L, 0L, "127.0.0.1", 80L, "127.0.0.1", 81L, "r", "d", "s", 5L, 0L));
-        fields.set(odd.field, odd.value);
+        fields.set(invalid.field, invalid.value);
         for (Object field : fields) {
             if (field instanceof String text) {
                 p.packString(text);
@@ -142,7 +142,7 @@
         return new MemberRecord(id, 1L << 60, 3, MemberState.ALIVE, here, here, new Place("r", "d"), "s", 5, 0);
     }
 
-    /** What may be odd in a record. */
+    /** The invalid values that a record is tested with. */
     private enum Invalid {
         ID_OF_ANOTHER_TYPE(0, 7L),
         ID_EMPTY(0, ""),
