--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -147,8 +147,8 @@
                 yield new Message.PlanRequest();
             }
             case PLAN_TOLD -> new Message.PlanReply(unpackBytes(u));
-            case QUOTA_ASK -> QuotaCodec.unpackAsk(u);
-            case QUOTA_TOLD -> QuotaCodec.unpackTold(u);
+            case QUOTA_ASK -> QuotaCodec.unpackRequest(u);
+            case QUOTA_TOLD -> QuotaCodec.unpackReply(u);
         };
     }
 
@@ -230,10 +230,10 @@
 
     private static Message.Report unpackReport(MessageUnpacker u) throws IOException {
         return new Message.Report(
-                u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackBelow(u));
+                u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackDeeperLevel(u));
     }
 
-    private static Message.DeeperLevel unpackBelow(MessageUnpacker u) throws IOException {
+    private static Message.DeeperLevel unpackDeeperLevel(MessageUnpacker u) throws IOException {
         return new Message.DeeperLevel(u.unpackString(), u.unpackInt(), u.unpackInt());
     }
 
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -20,9 +20,13 @@
     SPEND,
     GRANT,
     INQUIRE,
+    /** {@link Message.KeyQuery}. */
     KEY_ASK,
+    /** {@link Message.KeyReply}. */
     KEY_TOLD,
+    /** {@link Message.KeyTransfer}. */
     KEY_HAND_ON,
+    /** {@link Message.KeyTransferEnd}. */
     KEYS_HANDED_ON,
     /** {@link Message.PlanRequest}. */
     PLAN_WANTED,
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -26,9 +26,9 @@
     private static final byte PROBE_ACK = 3;
     private static final byte BUCKETS = 4;
     private static final byte RECORDS = 5;
-    private static final byte CONFIG_WANTED = 6;
-    private static final byte CONFIG_NEWS = 7;
-    private static final byte ENDS = 8;
+    private static final byte CONFIG_REQUEST = 6;
+    private static final byte CONFIG_UPDATE = 7;
+    private static final byte CRASH_REPORTS = 8;
 
     private GossipCodec() {}
 
@@ -78,12 +78,12 @@
         switch (message) {
             case GossipMessage.Rumor m -> {
                 p.packByte(RUMOR).packString(m.from()).packLong(m.ticket());
-                packView(p, m.summary());
+                packSummary(p, m.summary());
                 packRecords(p, m.updates());
             }
             case GossipMessage.Ack m -> {
                 p.packByte(ACK).packString(m.from()).packLong(m.ticket());
-                packView(p, m.summary());
+                packSummary(p, m.summary());
                 packRecords(p, m.updates());
             }
             case GossipMessage.Probe m -> {
@@ -103,13 +103,13 @@
                 p.packByte(RECORDS);
                 packRecords(p, m.records());
             }
-            case GossipMessage.ConfigRequest m -> p.packByte(CONFIG_WANTED).packString(m.from());
+            case GossipMessage.ConfigRequest m -> p.packByte(CONFIG_REQUEST).packString(m.from());
             case GossipMessage.ConfigUpdate m -> {
-                p.packByte(CONFIG_NEWS);
+                p.packByte(CONFIG_UPDATE);
                 ConfigCodec.packState(p, m.state());
             }
             case GossipMessage.CrashReports m -> {
-                p.packByte(ENDS).packString(m.from());
+                p.packByte(CRASH_REPORTS).packString(m.from());
                 CrashReportCodec.pack(p, m.reports());
             }
         }
@@ -118,26 +118,27 @@
     private static GossipMessage unpack(MessageUnpacker u, MemberRecordUnpacker records) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case RUMOR -> new GossipMessage.Rumor(u.unpackString(), u.unpackLong(), unpackView(u), records.unpack(u));
-            case ACK -> new GossipMessage.Ack(u.unpackString(), u.unpackLong(), unpackView(u), records.unpack(u));
+            case RUMOR ->
+                new GossipMessage.Rumor(u.unpackString(), u.unpackLong(), unpackSummary(u), records.unpack(u));
+            case ACK -> new GossipMessage.Ack(u.unpackString(), u.unpackLong(), unpackSummary(u), records.unpack(u));
             case PROBE ->
                 new GossipMessage.Probe(u.unpackString(), u.unpackLong(), unpackEndpoint(u), unpackEndpoint(u));
             case PROBE_ACK -> new GossipMessage.ProbeAck(u.unpackLong());
             case BUCKETS -> new GossipMessage.Buckets(u.unpackString(), u.unpackBoolean(), unpackDigests(u));
             case RECORDS -> new GossipMessage.Records(records.unpack(u));
-            case CONFIG_WANTED -> new GossipMessage.ConfigRequest(u.unpackString());
-            case ENDS -> new GossipMessage.CrashReports(u.unpackString(), CrashReportCodec.unpack(u));
-            case CONFIG_NEWS -> new GossipMessage.ConfigUpdate(ConfigCodec.unpackState(u));
+            case CONFIG_REQUEST -> new GossipMessage.ConfigRequest(u.unpackString());
+            case CRASH_REPORTS -> new GossipMessage.CrashReports(u.unpackString(), CrashReportCodec.unpack(u));
+            case CONFIG_UPDATE -> new GossipMessage.ConfigUpdate(ConfigCodec.unpackState(u));
             default -> throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "datagram of type " + kind);
         };
     }
 
-    private static void packView(MessagePacker p, GossipMessage.Summary view) throws IOException {
-        p.packLong(view.digest()).packLong(view.configVersion()).packLong(view.planVersion());
-        p.packInt(view.followerAgeMillis()).packLong(view.crashesFingerprint());
+    private static void packSummary(MessagePacker p, GossipMessage.Summary summary) throws IOException {
+        p.packLong(summary.digest()).packLong(summary.configVersion()).packLong(summary.planVersion());
+        p.packInt(summary.followerAgeMillis()).packLong(summary.crashesFingerprint());
     }
 
-    private static GossipMessage.Summary unpackView(MessageUnpacker u) throws IOException {
+    private static GossipMessage.Summary unpackSummary(MessageUnpacker u) throws IOException {
         return new GossipMessage.Summary(u.unpackLong(), u.unpackLong(), u.unpackLong(), u.unpackInt(), u.unpackLong());
     }
 
--- a/wire/src/main/java/org/verbenadyke/wire/IdempotencyKeyCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/IdempotencyKeyCodec.java
@@ -8,26 +8,26 @@
 import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
- * Encodes what nodes know of idempotency keys, and the stored answers to requests with such keys.
+ * Encodes what nodes know of idempotency keys, and the stored outcomes of requests with such keys.
  */
 final class IdempotencyKeyCodec {
-    private static final byte WHOLE = 0;
-    private static final byte LOST = 1;
-    private static final byte UNKNOWN = 0;
-    private static final byte UNSURE = 1;
+    private static final byte COMPLETE_ANSWER = 0;
+    private static final byte NO_ANSWER = 1;
+    private static final byte NEVER_RAN = 0;
+    private static final byte UNDETERMINED = 1;
     private static final byte KNOWN = 2;
 
     private IdempotencyKeyCodec() {}
 
-    static void pack(MessagePacker p, StoredOutcome answer) throws IOException {
-        switch (answer) {
+    static void pack(MessagePacker p, StoredOutcome outcome) throws IOException {
+        switch (outcome) {
             case StoredOutcome.CompleteAnswer w -> {
-                p.packByte(WHOLE).packInt(w.status());
+                p.packByte(COMPLETE_ANSWER).packInt(w.status());
                 FrameCodec.packHeaders(p, w.headers());
                 FrameCodec.packBytes(p, w.body());
             }
             case StoredOutcome.NoAnswer l -> {
-                p.packByte(LOST);
+                p.packByte(NO_ANSWER);
                 FrameCodec.packRefusal(p, l.refusal());
             }
         }
@@ -36,17 +36,17 @@
     static StoredOutcome unpack(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case WHOLE ->
+            case COMPLETE_ANSWER ->
                 new StoredOutcome.CompleteAnswer(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
-            case LOST -> new StoredOutcome.NoAnswer(FrameCodec.unpackRefusal(u));
-            default -> throw FrameCodec.malformed("stored answer " + kind);
+            case NO_ANSWER -> new StoredOutcome.NoAnswer(FrameCodec.unpackRefusal(u));
+            default -> throw FrameCodec.malformed("stored outcome " + kind);
         };
     }
 
     static void packFact(MessagePacker p, Message.KeyFact fact) throws IOException {
         switch (fact) {
-            case Message.KeyFact.NeverRan f -> p.packByte(UNKNOWN);
-            case Message.KeyFact.Undetermined f -> p.packByte(UNSURE);
+            case Message.KeyFact.NeverRan f -> p.packByte(NEVER_RAN);
+            case Message.KeyFact.Undetermined f -> p.packByte(UNDETERMINED);
             case Message.KeyFact.Known f -> {
                 p.packByte(KNOWN).packLong(f.fingerprint());
                 pack(p, f.outcome());
@@ -57,8 +57,8 @@
     static Message.KeyFact unpackFact(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case UNKNOWN -> new Message.KeyFact.NeverRan();
-            case UNSURE -> new Message.KeyFact.Undetermined();
+            case NEVER_RAN -> new Message.KeyFact.NeverRan();
+            case UNDETERMINED -> new Message.KeyFact.Undetermined();
             case KNOWN -> new Message.KeyFact.Known(u.unpackLong(), unpack(u));
             default -> throw FrameCodec.malformed("state of a key " + kind);
         };
--- a/wire/src/main/java/org/verbenadyke/wire/QuarantinedRequestCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuarantinedRequestCodec.java
@@ -58,11 +58,11 @@
             if (layout != LAYOUT_VERSION || n > MAX_CRASHES) {
                 throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " crashes");
             }
-            List<QuarantinedRequest.Crash> ends = new ArrayList<>();
+            List<QuarantinedRequest.Crash> crashes = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                ends.add(new QuarantinedRequest.Crash(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
+                crashes.add(new QuarantinedRequest.Crash(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
             }
-            return new QuarantinedRequest(request, ends);
+            return new QuarantinedRequest(request, crashes);
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "the bytes are not a quarantined request");
         }
--- a/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
@@ -17,7 +17,7 @@
         p.packInt(m.leased()).packInt(m.returned()).packInt(m.needed()).packInt(m.requested());
     }
 
-    static Message.QuotaRequest unpackAsk(MessageUnpacker u) throws IOException {
+    static Message.QuotaRequest unpackRequest(MessageUnpacker u) throws IOException {
         return new Message.QuotaRequest(
                 u.unpackLong(),
                 u.unpackString(),
@@ -33,7 +33,7 @@
         p.packInt(m.granted()).packLong(m.availableAfterMillis());
     }
 
-    static Message.QuotaReply unpackTold(MessageUnpacker u) throws IOException {
+    static Message.QuotaReply unpackReply(MessageUnpacker u) throws IOException {
         return new Message.QuotaReply(
                 u.unpackLong(), u.unpackString(), u.unpackBoolean(), u.unpackInt(), u.unpackLong());
     }
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -61,13 +61,13 @@
 
     @Test
     void decodesCrashReportsAndRejectsANegativeAge() {
-        GossipMessage.CrashReports ends = new GossipMessage.CrashReports(
+        GossipMessage.CrashReports crashes = new GossipMessage.CrashReports(
                 "n",
                 List.of(
                         new CrashReport(
                                 "u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
                         new CrashReport("u", true, 0, List.of())));
-        assertEquals(ends, GossipCodec.decode(GossipCodec.encode(ends)));
+        assertEquals(crashes, GossipCodec.decode(GossipCodec.encode(crashes)));
         GossipMessage.CrashReports invalid =
                 new GossipMessage.CrashReports("n", List.of(new CrashReport("u", false, -1, List.of())));
         byte[] bytes = GossipCodec.encode(invalid);
