--- a/wire/src/main/java/org/verbenadyke/wire/Buffers.java
+++ b/wire/src/main/java/org/verbenadyke/wire/Buffers.java
@@ -5,15 +5,16 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Makes packers and unpackers with small buffers: most frames are a few hundred bytes, and the library's own buffers of
- * 8 KiB each would be most of what a call allocates.
+ * Creates MessagePack packers and unpackers with small buffers: most frames are a few hundred bytes, and the library's
+ * default buffers of 8 KiB each would be most of what a call allocates.
  */
 final class Buffers {
-    private static final int PACK_BYTES = 512;
-    private static final int STRING_BYTES = 64;
-    private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(PACK_BYTES);
-    private static final MessagePack.UnpackerConfig UNPACKER =
-            new MessagePack.UnpackerConfig().withBufferSize(PACK_BYTES).withStringDecoderBufferSize(STRING_BYTES);
+    private static final int BUFFER_BYTES = 512;
+    private static final int STRING_BUFFER_BYTES = 64;
+    private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(BUFFER_BYTES);
+    private static final MessagePack.UnpackerConfig UNPACKER = new MessagePack.UnpackerConfig()
+            .withBufferSize(BUFFER_BYTES)
+            .withStringDecoderBufferSize(STRING_BUFFER_BYTES);
 
     private Buffers() {}
 
@@ -25,7 +26,7 @@
         return unpacker(bytes, 0);
     }
 
-    static MessageUnpacker unpacker(byte[] bytes, int from) {
-        return UNPACKER.newUnpacker(bytes, from, bytes.length - from);
+    static MessageUnpacker unpacker(byte[] bytes, int offset) {
+        return UNPACKER.newUnpacker(bytes, offset, bytes.length - offset);
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/EndReports.java
+++ b/wire/src/main/java/org/verbenadyke/wire/CrashReportCodec.java
@@ -12,13 +12,13 @@
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
- * Encodes reports of upstreams that ended.
+ * Encodes reports of crashed upstreams.
  */
-final class EndReports {
-    /** More than fit into a datagram; a longer list is no list of a node. */
-    private static final int MOST = 4_096;
+final class CrashReportCodec {
+    /** More items than fit into a datagram, so that no node sends a longer list. */
+    private static final int MAX_ITEMS = 4_096;
 
-    private EndReports() {}
+    private CrashReportCodec() {}
 
     static void pack(MessagePacker p, List<CrashReport> reports) throws IOException {
         p.packArrayHeader(reports.size());
@@ -40,16 +40,16 @@
     }
 
     static List<CrashReport> unpack(MessageUnpacker u) throws IOException {
-        int n = count(u);
+        int n = unpackCount(u);
         List<CrashReport> reports = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            reports.add(new CrashReport(u.unpackString(), u.unpackBoolean(), age(u.unpackInt()), digests(u)));
+            reports.add(new CrashReport(u.unpackString(), u.unpackBoolean(), checkedAge(u.unpackInt()), digests(u)));
         }
         return reports;
     }
 
     private static List<RequestDigest> digests(MessageUnpacker u) throws IOException {
-        int n = count(u);
+        int n = unpackCount(u);
         List<RequestDigest> digests = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             digests.add(unpackDigest(u));
@@ -57,15 +57,15 @@
         return digests;
     }
 
-    private static int count(MessageUnpacker u) throws IOException {
+    private static int unpackCount(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
-        if (n > MOST) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " ends");
+        if (n > MAX_ITEMS) {
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, n + " items");
         }
         return n;
     }
 
-    private static int age(int millis) {
+    private static int checkedAge(int millis) {
         if (millis < 0) {
             throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "an age of " + millis + " ms");
         }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -20,17 +20,17 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Encodes the messages between nodes as MessagePack: the type's number, then its fields in order. On the wire each is
- * preceded by its length in four bytes; see {@link #LENGTH_BYTES}.
+ * Encodes the messages between nodes as MessagePack: the type's number, then its fields in order. On the wire each
+ * message is preceded by its length in four bytes; see {@link #LENGTH_BYTES}.
  */
 public final class FrameCodec {
-    /** The length field before each frame, in bytes. */
+    /** The size of the length field that precedes each frame, in bytes. */
     public static final int LENGTH_BYTES = 4;
 
     /** The largest frame, in bytes. */
     public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-    private static final int HEADERS_MOST = 256;
+    private static final int MAX_HEADERS = 256;
 
     private FrameCodec() {}
 
@@ -59,7 +59,7 @@
      */
     public static Message decode(byte[] frame) {
         try (MessageUnpacker u = Buffers.unpacker(frame)) {
-            Message message = unpack(u, FrameType.numbered(u.unpackByte()));
+            Message message = unpack(u, FrameType.ofNumber(u.unpackByte()));
             if (u.hasNext()) {
                 throw malformed("bytes after the message");
             }
@@ -106,11 +106,11 @@
                         .packString(m.key());
             case Message.KeyReply m -> {
                 p.packLong(m.ticket());
-                KeptAnswerCodec.packFact(p, m.fact());
+                IdempotencyKeyCodec.packFact(p, m.fact());
             }
             case Message.KeyTransfer m -> {
                 p.packString(m.key()).packLong(m.fingerprint());
-                KeptAnswerCodec.pack(p, m.outcome());
+                IdempotencyKeyCodec.pack(p, m.outcome());
             }
             case Message.KeyTransferEnd m -> p.packString(m.upstream());
             case Message.PlanRequest m -> p.packNil();
@@ -138,16 +138,17 @@
             case KEY_ASK ->
                 new Message.KeyQuery(
                         u.unpackLong(), u.unpackString(), u.unpackString(), u.unpackBoolean(), u.unpackString());
-            case KEY_TOLD -> new Message.KeyReply(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
-            case KEY_HAND_ON -> new Message.KeyTransfer(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
+            case KEY_TOLD -> new Message.KeyReply(u.unpackLong(), IdempotencyKeyCodec.unpackFact(u));
+            case KEY_HAND_ON ->
+                new Message.KeyTransfer(u.unpackString(), u.unpackLong(), IdempotencyKeyCodec.unpack(u));
             case KEYS_HANDED_ON -> new Message.KeyTransferEnd(u.unpackString());
             case PLAN_WANTED -> {
                 u.unpackNil();
                 yield new Message.PlanRequest();
             }
             case PLAN_TOLD -> new Message.PlanReply(unpackBytes(u));
-            case QUOTA_ASK -> QuotaCodec.unpackAsk(u);
-            case QUOTA_TOLD -> QuotaCodec.unpackTold(u);
+            case QUOTA_ASK -> QuotaCodec.unpackRequest(u);
+            case QUOTA_TOLD -> QuotaCodec.unpackReply(u);
         };
     }
 
@@ -198,7 +199,7 @@
 
     static List<HeaderField> unpackHeaders(MessageUnpacker u) throws IOException {
         int n = u.unpackArrayHeader();
-        if (n > HEADERS_MOST) {
+        if (n > MAX_HEADERS) {
             throw malformed(n + " header fields");
         }
         List<HeaderField> headers = new ArrayList<>(n);
@@ -229,10 +230,10 @@
 
     private static Message.Report unpackReport(MessageUnpacker u) throws IOException {
         return new Message.Report(
-                u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackBelow(u));
+                u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackDeeperLevel(u));
     }
 
-    private static Message.DeeperLevel unpackBelow(MessageUnpacker u) throws IOException {
+    private static Message.DeeperLevel unpackDeeperLevel(MessageUnpacker u) throws IOException {
         return new Message.DeeperLevel(u.unpackString(), u.unpackInt(), u.unpackInt());
     }
 
@@ -249,7 +250,7 @@
         return u.readPayload(n);
     }
 
-    static VerbenadykeException malformed(String what) {
-        return VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, what);
+    static VerbenadykeException malformed(String detail) {
+        return VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, detail);
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * The numbers of the message types on the wire. Numbers are never given to another type.
+ * The numbers of the message types on the wire. The number of a type is never reused for another type.
  */
 enum FrameType {
     HELLO,
@@ -20,9 +20,13 @@
     SPEND,
     GRANT,
     INQUIRE,
+    /** {@link Message.KeyQuery}. */
     KEY_ASK,
+    /** {@link Message.KeyReply}. */
     KEY_TOLD,
+    /** {@link Message.KeyTransfer}. */
     KEY_HAND_ON,
+    /** {@link Message.KeyTransferEnd}. */
     KEYS_HANDED_ON,
     /** {@link Message.PlanRequest}. */
     PLAN_WANTED,
@@ -39,7 +43,7 @@
         return (byte) ordinal();
     }
 
-    static FrameType numbered(byte number) {
+    static FrameType ofNumber(byte number) {
         if (number < 0 || number >= ALL.length) {
             throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, "type " + number);
         }
--- a/wire/src/main/java/org/verbenadyke/wire/QuarantinedRequestCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuarantinedRequestCodec.java
@@ -14,14 +14,14 @@
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
- * Encodes requests that are held back, for the log. A record begins with a number, so that it can't be taken for that
- * of a member, which begins with a name.
+ * Encodes quarantined requests for the log. A record begins with a number, so that it can't be mistaken for a member
+ * record, which begins with a name.
  */
 public final class QuarantinedRequestCodec implements RecordCodec<QuarantinedRequest> {
-    private static final int LAYOUT = 1;
+    private static final int LAYOUT_VERSION = 1;
 
-    /** More than the trials of some days; a longer list is no list of a node. */
-    private static final int ENDS_MOST = 1_024;
+    /** More crashes than the trials of some days can cause, so that no node writes a longer list. */
+    private static final int MAX_CRASHES = 1_024;
 
     private QuarantinedRequestCodec() {}
 
@@ -37,8 +37,8 @@
     @Override
     public byte[] encode(QuarantinedRequest record) {
         try (MessageBufferPacker p = Buffers.packer()) {
-            p.packInt(LAYOUT);
-            EndReports.pack(p, record.request());
+            p.packInt(LAYOUT_VERSION);
+            CrashReportCodec.pack(p, record.request());
             p.packArrayHeader(record.crashes().size());
             for (QuarantinedRequest.Crash e : record.crashes()) {
                 p.packString(e.upstream()).packBoolean(e.cleared()).packLong(e.atMillis());
@@ -53,18 +53,18 @@
     public QuarantinedRequest decode(byte[] bytes) {
         try (MessageUnpacker u = Buffers.unpacker(bytes)) {
             int layout = u.unpackInt();
-            RequestDigest request = EndReports.unpackDigest(u);
+            RequestDigest request = CrashReportCodec.unpackDigest(u);
             int n = u.unpackArrayHeader();
-            if (layout != LAYOUT || n > ENDS_MOST) {
-                throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " ends");
+            if (layout != LAYOUT_VERSION || n > MAX_CRASHES) {
+                throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "layout " + layout + ", " + n + " crashes");
             }
-            List<QuarantinedRequest.Crash> ends = new ArrayList<>();
+            List<QuarantinedRequest.Crash> crashes = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                ends.add(new QuarantinedRequest.Crash(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
+                crashes.add(new QuarantinedRequest.Crash(u.unpackString(), u.unpackBoolean(), u.unpackLong()));
             }
-            return new QuarantinedRequest(request, ends);
+            return new QuarantinedRequest(request, crashes);
         } catch (IOException | MessagePackException | IndexOutOfBoundsException e) {
-            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "its bytes are no held request");
+            throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "the bytes are not a quarantined request");
         }
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Encodes the messages about teams' permits.
+ * Encodes the messages by which nodes allocate permits under teams' limits.
  */
 final class QuotaCodec {
     private QuotaCodec() {}
@@ -17,7 +17,7 @@
         p.packInt(m.leased()).packInt(m.returned()).packInt(m.needed()).packInt(m.requested());
     }
 
-    static Message.QuotaRequest unpackAsk(MessageUnpacker u) throws IOException {
+    static Message.QuotaRequest unpackRequest(MessageUnpacker u) throws IOException {
         return new Message.QuotaRequest(
                 u.unpackLong(),
                 u.unpackString(),
@@ -33,7 +33,7 @@
         p.packInt(m.granted()).packLong(m.availableAfterMillis());
     }
 
-    static Message.QuotaReply unpackTold(MessageUnpacker u) throws IOException {
+    static Message.QuotaReply unpackReply(MessageUnpacker u) throws IOException {
         return new Message.QuotaReply(
                 u.unpackLong(), u.unpackString(), u.unpackBoolean(), u.unpackInt(), u.unpackLong());
     }
