--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -26,13 +26,13 @@
 import org.verbenadyke.node.control.ControlService;
 import org.verbenadyke.node.control.LocalService;
 import org.verbenadyke.node.http.RequestService;
-import org.verbenadyke.node.log.AbsentLog;
-import org.verbenadyke.node.log.HttpLog;
+import org.verbenadyke.node.log.HttpLogService;
+import org.verbenadyke.node.log.UnconfiguredLogService;
 import org.verbenadyke.node.settings.NodeSettings;
 import org.verbenadyke.node.time.WheelTimerService;
 import org.verbenadyke.node.trace.DecisionLogger;
 import org.verbenadyke.node.transport.NettyTransport;
-import org.verbenadyke.node.transport.SharedLoops;
+import org.verbenadyke.node.transport.ServiceTalkEventLoops;
 import org.verbenadyke.node.transport.UdpPort;
 import org.verbenadyke.wire.ConfigCodec;
 import org.verbenadyke.wire.HeldCodec;
@@ -46,15 +46,15 @@
 import io.servicetalk.transport.netty.internal.NettyIoExecutors;
 
 /**
- * One running node: the decision logic wired to sockets, timers and the log.
+ * One running node: the decision logic connected to sockets, timers and the log.
  */
 public final class Node {
     private static final Logger LOG = LogManager.getLogger("node");
     private static final int INCARNATION_SHIFT = 20;
     private static final long INCARNATION_MASK = (1L << INCARNATION_SHIFT) - 1;
-    private static final Duration SERVER_CLOSE_MOST = Duration.ofSeconds(5);
+    private static final Duration SERVER_CLOSE_TIMEOUT = Duration.ofSeconds(5);
     private static final long POLL_MILLIS = 20;
-    private static final long LEAVE_MILLIS = 300;
+    private static final long LEAVE_SPREAD_MILLIS = 300;
 
     private final NodeSettings settings;
     private final Counters counters = Counters.create();
@@ -72,12 +72,15 @@
     private Node(NodeSettings settings) {
         this.settings = settings;
         this.io = NettyIoExecutors.createIoExecutor(settings.ioThreads(), "io");
-        this.transport = NettyTransport.on(SharedLoops.of(io), counters);
-        this.ledger = settings.ledger() ? Ledger.watching(this::breached) : Ledger.off();
+        this.transport = NettyTransport.on(ServiceTalkEventLoops.of(io), counters);
+        this.ledger = settings.ledger() ? Ledger.watching(this::onBreach) : Ledger.off();
         long incarnation = timers.wallMillis() << INCARNATION_SHIFT | new SecureRandom().nextLong() & INCARNATION_MASK;
-        LogService log = settings.logs().<LogService>map(a -> HttpLog.at(a, io)).orElseGet(AbsentLog::create);
+        LogService log = settings.logs()
+                .<LogService>map(a -> HttpLogService.at(a, io))
+                .orElseGet(UnconfiguredLogService::create);
         DecisionLogger decisions = DecisionLogger.on(timers);
-        this.datagrams = UdpPort.listen(settings.peers(), SharedLoops.of(io), counters, decisions, this::heard);
+        this.datagrams =
+                UdpPort.listen(settings.peers(), ServiceTalkEventLoops.of(io), counters, decisions, this::onDatagram);
         MemberRecord self = new MemberRecord(
                 settings.id(),
                 incarnation,
@@ -108,9 +111,9 @@
     }
 
     /**
-     * Starts a node; it serves when this returns.
+     * Starts a node, which serves requests when the method returns.
      *
-     * @param settings its settings
+     * @param settings the node's settings
      * @return the node
      * @throws VerbenadykeException with {@link ErrorCode#PORT_IN_USE}
      */
@@ -122,16 +125,16 @@
     }
 
     /**
-     * Stops gracefully: new work is refused, what is in flight ends, the news of leaving is spread.
+     * Stops gracefully: refuses new work, waits for work in flight to finish, and gossips that the node leaves.
      *
-     * @param most how long to wait for work in flight
+     * @param timeout how long to wait for work in flight
      */
-    public void stop(Duration most) {
+    public void stop(Duration timeout) {
         LOG.info("Node {} is stopping.", settings.id());
         core.drain();
-        awaitIdle(most);
+        awaitIdle(timeout);
         core.leave();
-        pause(LEAVE_MILLIS);
+        sleep(LEAVE_SPREAD_MILLIS);
         closeQuietly(entry);
         closeQuietly(local);
         core.stop();
@@ -170,7 +173,7 @@
         control = serve(settings.control(), ControlService.of(settings, core, counters));
     }
 
-    private void heard(Endpoint from, GossipMessage message) {
+    private void onDatagram(Endpoint from, GossipMessage message) {
         NodeCore c = core;
         if (c != null) {
             c.received(from, message);
@@ -188,14 +191,14 @@
         }
     }
 
-    private void awaitIdle(Duration most) {
-        long end = timers.nanos() + most.toNanos();
-        while (timers.nanos() < end && busy()) {
-            pause(POLL_MILLIS);
+    private void awaitIdle(Duration timeout) {
+        long deadline = timers.nanos() + timeout.toNanos();
+        while (timers.nanos() < deadline && hasWorkInFlight()) {
+            sleep(POLL_MILLIS);
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -203,12 +206,12 @@
         }
     }
 
-    private boolean busy() {
+    private boolean hasWorkInFlight() {
         return core.engine().server().unfinished() > 0
                 || core.engine().dispatcher().underWay() > 0;
     }
 
-    private void breached(Breach breach) {
+    private void onBreach(Breach breach) {
         counters.count(Event.INVARIANT_BREACHED);
         LOG.error(
                 "{} {}: {}.",
@@ -219,7 +222,7 @@
 
     private static void closeQuietly(HttpServerContext server) {
         server.closeAsyncGracefully()
-                .timeout(SERVER_CLOSE_MOST)
+                .timeout(SERVER_CLOSE_TIMEOUT)
                 .onErrorComplete()
                 .toFuture();
     }
--- a/node/src/main/java/org/verbenadyke/node/http/BodySource.java
+++ b/node/src/main/java/org/verbenadyke/node/http/BodySource.java
@@ -9,21 +9,21 @@
 import io.servicetalk.concurrent.PublisherSource;
 
 /**
- * The body of an answer on its way to a caller: fragments go out as the caller's connection takes them, and each taken
- * fragment allows as many bytes more.
+ * Publishes the body of an answer to a caller. Fragments are emitted on demand of the caller's connection, and each
+ * emitted fragment replenishes the flow-control credit by its length.
  */
 final class BodySource implements PublisherSource<Buffer> {
     private final Serial serial = Serial.create();
     private final Deque<Buffer> queue = new ArrayDeque<>();
-    private final Taker taker;
+    private final Observer observer;
     private Subscriber<? super Buffer> subscriber;
     private long demand;
     private boolean ended;
     private boolean done;
     private Throwable failure;
 
-    BodySource(Taker taker) {
-        this.taker = taker;
+    BodySource(Observer observer) {
+        this.observer = observer;
     }
 
     @Override
@@ -66,7 +66,7 @@
             int bytes = buffer.readableBytes();
             demand--;
             subscriber.onNext(buffer);
-            taker.taken(bytes);
+            observer.fragmentTaken(bytes);
         }
         if (failure != null) {
             done = true;
@@ -78,18 +78,18 @@
     }
 
     /**
-     * Learns what became of the body.
+     * Observes the delivery of the body.
      */
-    interface Taker {
-        /** Takes the news that the caller's connection took a fragment. */
-        void taken(int bytes);
+    interface Observer {
+        /** Called when the caller's connection has taken a fragment. */
+        void fragmentTaken(int bytes);
 
-        /** Takes the news that the caller left. */
-        void left();
+        /** Called when the caller disconnected. */
+        void callerDisconnected();
     }
 
     /**
-     * The demand of the caller's connection.
+     * The subscription of the caller's connection.
      */
     private final class Demand implements Subscription {
         @Override
@@ -106,7 +106,7 @@
                 if (!done) {
                     done = true;
                     queue.clear();
-                    taker.left();
+                    observer.callerDisconnected();
                 }
             });
         }
--- a/node/src/main/java/org/verbenadyke/node/http/HeaderNames.java
+++ b/node/src/main/java/org/verbenadyke/node/http/HeaderNames.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * The HTTP header fields that the system reads and sets.
+ * The names of the HTTP header fields that nodes read and set.
  */
 public final class HeaderNames {
-    /** Names the call that an upstream serves; the upstream copies it to its own calls. */
+    /** Identifies the call that an upstream serves; the upstream copies the field to its own calls. */
     public static final String CONTEXT = "verbenadyke-context";
 
-    /** How long a caller waits, or an upstream has left, in milliseconds. */
+    /** A caller's timeout, or the time that an upstream has left, in milliseconds. */
     public static final String DEADLINE = "verbenadyke-deadline-ms";
 
     /** Whether a refused request ran. */
@@ -19,23 +19,23 @@
     /** Why a request was refused. */
     public static final String REASON = "verbenadyke-reason";
 
-    /** When a refused caller may come back, in milliseconds. */
+    /** How long a refused caller should wait before a retry, in milliseconds. */
     public static final String RETRY_AFTER_MILLIS = "verbenadyke-retry-after-ms";
 
-    /** How much a request matters; set by the nodes. */
+    /** The importance of a request; set by the nodes. */
     public static final String IMPORTANCE = "verbenadyke-importance";
 
-    /** The request of the whole chain; set by the nodes. */
+    /** The id of the request that a whole call chain serves; set by the nodes. */
     public static final String REQUEST = "verbenadyke-request";
 
-    /** When a refused caller may come back, in seconds. */
+    /** How long a refused caller should wait before a retry, in seconds. */
     public static final String RETRY_AFTER = "retry-after";
 
-    /** Names a non-idempotent request, so that it can be sent again. */
+    /** Identifies a non-idempotent request, so that it can safely be sent again. */
     public static final String IDEMPOTENCY_KEY = "idempotency-key";
 
     private static final String PREFIX = "verbenadyke-";
-    private static final Set<String> PER_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -49,22 +49,22 @@
     private HeaderNames() {}
 
     /**
-     * Tells whether a field is passed on.
+     * Returns whether a field is end-to-end and therefore forwarded.
      *
      * @param name the name
-     * @return false for fields of one connection only
+     * @return false for hop-by-hop fields
      */
-    public static boolean passedOn(String name) {
-        return !PER_CONNECTION.contains(name.toLowerCase(Locale.ROOT));
+    public static boolean isEndToEnd(String name) {
+        return !HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT));
     }
 
     /**
-     * Tells whether a field steers decisions, so that it is never taken from outside.
+     * Returns whether a field controls the nodes' decisions. Such fields are never accepted from external callers.
      *
      * @param name the name
-     * @return whether it is one of the system's own
+     * @return whether the field is reserved for nodes
      */
-    public static boolean steering(String name) {
+    public static boolean isControlHeader(String name) {
         return name.toLowerCase(Locale.ROOT).startsWith(PREFIX);
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/http/HttpAnswer.java
+++ b/node/src/main/java/org/verbenadyke/node/http/HttpAnswer.java
@@ -21,10 +21,10 @@
 import io.servicetalk.transport.api.ConnectionContext;
 
 /**
- * One answer on its way to a caller over HTTP. An answer cut short ends the caller's connection without the closing
- * chunk, so that it can't pass for a whole one.
+ * Writes one answer to a caller over HTTP. If the answer is cut short, the caller's connection is closed without the
+ * last chunk, so that the caller can't mistake the answer for a complete one.
  */
-final class HttpAnswer implements AnswerSink, BodySource.Taker {
+final class HttpAnswer implements AnswerSink, BodySource.Observer {
     private final StreamingHttpResponseFactory responses;
     private final ConnectionContext connection;
     private final Counters counters;
@@ -40,17 +40,17 @@
     }
 
     Single<StreamingHttpResponse> response() {
-        return SourceAdapters.fromSource(response).beforeCancel(this::left);
+        return SourceAdapters.fromSource(response).beforeCancel(this::callerDisconnected);
     }
 
-    void steer(CallHandle newHandle) {
+    void attach(CallHandle newHandle) {
         handle.set(newHandle);
     }
 
     @Override
     public void head(int status, List<HeaderField> headers) {
         StreamingHttpResponse r = responses.newResponse(HttpResponseStatus.of(status, ""));
-        headers.stream().filter(h -> HeaderNames.passedOn(h.name())).forEach(h -> r.addHeader(h.name(), h.value()));
+        headers.stream().filter(h -> HeaderNames.isEndToEnd(h.name())).forEach(h -> r.addHeader(h.name(), h.value()));
         response.onSuccess(r.payloadBody(SourceAdapters.fromSource(body)));
     }
 
@@ -77,17 +77,17 @@
     }
 
     @Override
-    public void taken(int bytes) {
+    public void fragmentTaken(int bytes) {
         Optional.ofNullable(handle.get()).ifPresent(h -> h.credit(bytes));
     }
 
     @Override
-    public void left() {
+    public void callerDisconnected() {
         Optional.ofNullable(handle.get()).ifPresent(CallHandle::cancel);
     }
 
     /**
-     * Ends the caller's connection when the rest of an answer can't be had.
+     * Signals that the rest of an answer is unavailable; closes the caller's connection.
      */
     private static final class AnswerCutShort extends RuntimeException {
         private static final long serialVersionUID = 1L;
--- a/node/src/main/java/org/verbenadyke/node/http/HttpUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http/HttpUpstream.java
@@ -11,8 +11,8 @@
 import org.verbenadyke.kernel.call.HeaderField;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.serve.UpstreamPort;
-import org.verbenadyke.node.transport.ServerPresence;
-import org.verbenadyke.node.transport.SharedLoops;
+import org.verbenadyke.node.transport.ServerProbe;
+import org.verbenadyke.node.transport.ServiceTalkEventLoops;
 
 import io.servicetalk.buffer.api.Buffer;
 import io.servicetalk.client.api.NoAvailableHostException;
@@ -31,40 +31,41 @@
 import io.servicetalk.transport.api.IoExecutor;
 
 /**
- * The HTTP way to the upstream beside the node. The client's own retries are off: a call is handed over once.
+ * Sends calls over HTTP to the upstream that the node is colocated with. The client's own retries are off: a call is
+ * sent only once.
  */
 public final class HttpUpstream implements UpstreamPort, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final StreamingHttpClient client;
-    private final ServerPresence presence;
+    private final ServerProbe probe;
 
-    private HttpUpstream(StreamingHttpClient client, ServerPresence presence) {
+    private HttpUpstream(StreamingHttpClient client, ServerProbe presence) {
         this.client = client;
-        this.presence = presence;
+        this.probe = presence;
     }
 
     /**
-     * Creates the way to an upstream.
+     * Creates the port to an upstream.
      *
-     * @param address where the upstream listens
+     * @param address the upstream's address
      * @param executor the threads that serve connections
      * @return the port
      */
     public static HttpUpstream to(Endpoint address, IoExecutor executor) {
-        // A resolved address is there from the start; a name is looked up later, and requests until then are refused.
+        // A resolved address is usable at once; a host name is resolved asynchronously, and requests fail until then.
         StreamingHttpClient client = HttpClients.forResolvedAddress(
                         new InetSocketAddress(address.host(), address.port()))
                 .ioExecutor(executor)
                 .executionStrategy(HttpExecutionStrategies.offloadNone())
                 .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
                 .buildStreaming();
-        return new HttpUpstream(client, ServerPresence.of(address, SharedLoops.of(executor), () -> {}));
+        return new HttpUpstream(client, ServerProbe.of(address, ServiceTalkEventLoops.of(executor), () -> {}));
     }
 
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
-        HttpExchange exchange = new HttpExchange(listener, presence);
+        UpstreamExchange exchange = new UpstreamExchange(listener, probe);
         SourceAdapters.toSource(client.request(request(handOver))).subscribe(exchange);
         return exchange;
     }
@@ -96,7 +97,7 @@
         List<HeaderField> fields = new ArrayList<>();
         for (Map.Entry<CharSequence, CharSequence> h : response.headers()) {
             String name = h.getKey().toString().toLowerCase(Locale.ROOT);
-            if (HeaderNames.passedOn(name)) {
+            if (HeaderNames.isEndToEnd(name)) {
                 fields.add(new HeaderField(name, h.getValue().toString()));
             }
         }
@@ -104,20 +105,20 @@
     }
 
     /**
-     * One call handed over.
+     * One call to the upstream and its answer.
      */
-    private static final class HttpExchange
+    private static final class UpstreamExchange
             implements Exchange, SingleSource.Subscriber<StreamingHttpResponse>, PublisherSource.Subscriber<Buffer> {
         private static final Cancellable CANCELLED = () -> {};
 
         private final Listener listener;
-        private final ServerPresence presence;
+        private final ServerProbe probe;
         private final AtomicReference<Cancellable> current = new AtomicReference<>();
         private volatile PublisherSource.Subscription body;
 
-        private HttpExchange(Listener listener, ServerPresence presence) {
+        private UpstreamExchange(Listener listener, ServerProbe presence) {
             this.listener = listener;
-            this.presence = presence;
+            this.probe = presence;
         }
 
         @Override
@@ -138,7 +139,7 @@
 
         @Override
         public void onSubscribe(Cancellable cancellable) {
-            hold(cancellable);
+            setCancellable(cancellable);
         }
 
         @Override
@@ -152,7 +153,7 @@
         @Override
         public void onSubscribe(PublisherSource.Subscription subscription) {
             body = subscription;
-            hold(subscription);
+            setCancellable(subscription);
         }
 
         @Override
@@ -168,7 +169,7 @@
                 listener.unreachable();
                 return;
             }
-            presence.explainBreak(listener);
+            probe.reportBreakCause(listener);
         }
 
         @Override
@@ -176,9 +177,9 @@
             listener.end();
         }
 
-        private void hold(Cancellable cancellable) {
-            Cancellable before = current.getAndUpdate(c -> c == CANCELLED ? CANCELLED : cancellable);
-            if (before == CANCELLED) {
+        private void setCancellable(Cancellable cancellable) {
+            Cancellable previous = current.getAndUpdate(c -> c == CANCELLED ? CANCELLED : cancellable);
+            if (previous == CANCELLED) {
                 cancellable.cancel();
             }
         }
--- a/node/src/main/java/org/verbenadyke/node/http/ProblemDetails.java
+++ b/node/src/main/java/org/verbenadyke/node/http/ProblemDetails.java
@@ -15,7 +15,7 @@
 import io.servicetalk.http.api.StreamingHttpResponseFactory;
 
 /**
- * Words refusals as problem details (RFC 9457).
+ * Builds the responses to refused requests as problem details (RFC 9457).
  */
 final class ProblemDetails {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/node/src/main/java/org/verbenadyke/node/http/RequestService.java
+++ b/node/src/main/java/org/verbenadyke/node/http/RequestService.java
@@ -26,11 +26,11 @@
 import io.servicetalk.http.api.StreamingHttpService;
 
 /**
- * Takes requests over HTTP. The first segment of the path names the service; the upstream gets the rest.
+ * Accepts requests over HTTP. The first segment of the path names the service; the rest is forwarded to the upstream.
  */
 public final class RequestService implements StreamingHttpService {
-    /** The largest body of a request, in bytes. */
-    public static final int BODY_MOST = 1024 * 1024;
+    /** The maximum size of a request's body, in bytes. */
+    public static final int MAX_BODY_BYTES = 1024 * 1024;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Creates the service for callers from outside; their steering headers are dropped.
+     * Creates the service for external callers; their control headers are dropped.
      *
      * @param engine the request path
      * @param counters where refusals are counted
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Creates the service for the upstream beside the node.
+     * Creates the service for the upstream that the node is colocated with.
      *
      * @param engine the request path
      * @param counters where refusals are counted
@@ -90,10 +90,10 @@
         }
         Optional<String> token = header(request, HeaderNames.CONTEXT);
         if (fromUpstream && token.isPresent()) {
-            engine.callFrom(token.get(), inbound.get(), answer).ifPresent(answer::steer);
+            engine.callFrom(token.get(), inbound.get(), answer).ifPresent(answer::attach);
             return;
         }
-        answer.steer(engine.enter(inbound.get(), answer));
+        answer.attach(engine.enter(inbound.get(), answer));
     }
 
     private void refuse(HttpAnswer answer, RefusalReason reason) {
@@ -118,11 +118,11 @@
         List<HeaderField> fields = new ArrayList<>();
         for (Map.Entry<CharSequence, CharSequence> h : request.headers()) {
             String name = h.getKey().toString().toLowerCase(Locale.ROOT);
-            if (HeaderNames.steering(name)) {
+            if (HeaderNames.isControlHeader(name)) {
                 if (!fromUpstream && !name.equals(HeaderNames.DEADLINE)) {
                     counters.count(Event.HEADER_DROPPED);
                 }
-            } else if (HeaderNames.passedOn(name)) {
+            } else if (HeaderNames.isEndToEnd(name)) {
                 fields.add(new HeaderField(name, h.getValue().toString()));
             }
         }
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Collects a body up to the limit.
+     * Collects a request's body up to the size limit.
      */
     private static final class BodyCollector {
         private byte[] bytes = new byte[0];
@@ -148,7 +148,7 @@
 
         BodyCollector add(Buffer buffer) {
             int more = buffer.readableBytes();
-            if (tooLarge || bytes.length + more > BODY_MOST) {
+            if (tooLarge || bytes.length + more > MAX_BODY_BYTES) {
                 tooLarge = true;
                 buffer.skipBytes(more);
                 return this;
--- a/node/src/main/java/org/verbenadyke/node/http1/AnswerListener.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/AnswerListener.java
@@ -5,23 +5,23 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * Takes what comes back for a request, on the connection's thread and in order.
+ * Receives the events of a request's answer, in order and on the connection's event loop.
  */
 public interface AnswerListener {
-    /** Takes notice that no connection could be had: the request was never sent. */
+    /** Called when no connection was available: the request was never sent. */
     void unreachable();
 
     /**
-     * Tells whether an answer belongs to the request. One that doesn't is skipped, and the next is awaited.
+     * Returns whether an answer belongs to the request. An answer that doesn't is skipped, and the next one is awaited.
      *
      * @param status the HTTP status
      * @param fields the header fields
-     * @return whether it belongs to it
+     * @return whether the answer belongs to the request
      */
     boolean matches(int status, List<HeaderField> fields);
 
     /**
-     * Takes the head of the answer.
+     * Called with the head of the answer.
      *
      * @param status the HTTP status
      * @param fields the header fields
@@ -29,19 +29,19 @@
     void head(int status, List<HeaderField> fields);
 
     /**
-     * Takes a part of the body.
+     * Called with each part of the body.
      *
      * @param bytes the part
      */
     void data(byte[] bytes);
 
-    /** Takes the end of a whole answer. */
+    /** Called when the answer is complete. */
     void end();
 
-    /** Takes notice that the connection ended, or brought what is no answer, after the request was sent. */
+    /** Called when the connection failed or received malformed data after the request was sent. */
     void broken();
 
-    /** Takes notice that the server closed or reset the connection after the request was sent. */
+    /** Called when the server closed or reset the connection after the request was sent. */
     default void closed() {
         broken();
     }
--- a/node/src/main/java/org/verbenadyke/node/http1/ClientCall.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ClientCall.java
@@ -5,20 +5,21 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * One request of a pool and the state of its answer. Belongs to its connection's thread once it has one.
+ * One request sent through a pool and the state of its answer. Confined to its connection's event loop once the request
+ * has a connection.
  */
 final class ClientCall implements HttpCall {
     private final HttpRequestMessage request;
-    private final String name;
+    private final String correlationId;
     private final AnswerListener listener;
     private volatile ClientConnection connection;
-    private volatile boolean over;
+    private volatile boolean finished;
     private boolean throttled;
-    private int wanted;
+    private int requestedParts;
 
-    ClientCall(HttpRequestMessage request, String name, AnswerListener listener) {
+    ClientCall(HttpRequestMessage request, String correlationId, AnswerListener listener) {
         this.request = request;
-        this.name = name;
+        this.correlationId = correlationId;
         this.listener = listener;
     }
 
@@ -26,10 +27,10 @@
     public void request() {
         ClientConnection c = connection;
         if (c != null) {
-            c.onThread(() -> {
-                wanted++;
-                if (!over && throttled) {
-                    c.reading(true);
+            c.onEventLoop(() -> {
+                requestedParts++;
+                if (!finished && throttled) {
+                    c.setAutoRead(true);
                 }
             });
         }
@@ -42,10 +43,10 @@
 
     @Override
     public void cancel() {
-        over = true;
+        finished = true;
         ClientConnection c = connection;
         if (c != null) {
-            c.onThread(() -> c.abandon(this));
+            c.onEventLoop(() -> c.abandon(this));
         }
     }
 
@@ -53,12 +54,12 @@
         return request;
     }
 
-    String name() {
-        return name;
+    String correlationId() {
+        return correlationId;
     }
 
-    boolean over() {
-        return over;
+    boolean finished() {
+        return finished;
     }
 
     void bind(ClientConnection newConnection) {
@@ -66,49 +67,49 @@
     }
 
     boolean matches(int status, List<HeaderField> fields) {
-        return over || listener.matches(status, fields);
+        return finished || listener.matches(status, fields);
     }
 
     void unreachable() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.unreachable();
         }
     }
 
     void head(int status, List<HeaderField> fields) {
-        if (!over) {
+        if (!finished) {
             listener.head(status, fields);
         }
     }
 
     void data(byte[] bytes) {
-        if (over) {
+        if (finished) {
             return;
         }
         listener.data(bytes);
-        if (throttled && --wanted <= 0) {
-            connection.reading(false);
+        if (throttled && --requestedParts <= 0) {
+            connection.setAutoRead(false);
         }
     }
 
     void end() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.end();
         }
     }
 
     void broken() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.broken();
         }
     }
 
     void closed() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.closed();
         }
     }
--- a/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
@@ -29,28 +29,31 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection of a pool. Bytes that come while no request is under way belong to nobody and end the connection, also
- * those that come with the end of an answer; an answer that its request does not recognise is skipped.
+ * One connection of a pool. Bytes that arrive while no request is in flight, or together with the end of an answer,
+ * belong to no request and close the connection; an answer that doesn't match its request is skipped.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LogManager.getLogger("http");
     private static final Pattern TIMEOUT = Pattern.compile("timeout=(\\d{1,6})");
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** The part of the server's idle time after which a connection is not used again, to stay clear of its close. */
+    /** The share of the server's idle timeout after which a connection isn't reused, so as not to race its close. */
     private static final double IDLE_SHARE = 0.7;
 
-    /** Names that are remembered; a connection carries a handful in the time in which a request may come again. */
-    private static final int NAMES_MOST = 16;
+    /**
+     * The number of correlation ids that are retained; a connection carries a handful in the time in which a request
+     * may be repeated.
+     */
+    private static final int MAX_NAMES = 16;
 
     private final HttpPool pool;
     private final Deque<String> names = new ConcurrentLinkedDeque<>();
     private ChannelHandlerContext context;
     private ClientCall call;
-    private ClientCall answered;
+    private ClientCall answeredCall;
     private boolean failed;
     private boolean skipping;
-    private boolean started;
+    private boolean headReceived;
     private boolean reusable;
     private long idleNanos;
     private volatile long idleSince;
@@ -67,7 +70,7 @@
         context = newContext;
         pool.opened(this);
         ClientCall first = call;
-        if (first.over()) {
+        if (first.finished()) {
             call = null;
             idleSince = pool.timers().nanos();
             pool.release(this);
@@ -79,7 +82,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ignored, Object message) {
         try {
-            take((HttpObject) message);
+            process((HttpObject) message);
         } finally {
             ReferenceCountUtil.release(message);
         }
@@ -87,16 +90,16 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ignored) {
-        settle();
+        completeAnsweredCall();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
         closed = true;
         pool.ended(this);
-        settle();
+        completeAnsweredCall();
         if (call != null) {
-            finish().closed();
+            detachCall().closed();
         }
     }
 
@@ -109,7 +112,7 @@
 
     /** Starts a request on an idle connection, from any thread. */
     void start(ClientCall next) {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (closed || !context.channel().isActive()) {
                 next.unreachable();
                 return;
@@ -124,22 +127,23 @@
     }
 
     /**
-     * Tells whether a request of this name was sent here lately. The answer to it may be given a second time, which
-     * would be taken for the answer to the next of the name: a filing that ran was told as not run.
+     * Returns whether a request with this correlation id was recently sent on this connection. Its answer may arrive a
+     * second time and would then be matched to the next request with the same id: a request that ran would be reported
+     * as not run.
      */
-    boolean carried(String name) {
+    boolean hasCarried(String name) {
         return !name.isEmpty() && names.contains(name);
     }
 
-    void abandon(ClientCall given) {
-        if (call == given) {
+    void abandon(ClientCall cancelled) {
+        if (call == cancelled) {
             call = null;
             close();
         }
     }
 
-    void reading(boolean on) {
-        context.channel().config().setAutoRead(on);
+    void setAutoRead(boolean autoRead) {
+        context.channel().config().setAutoRead(autoRead);
     }
 
     void close() {
@@ -147,7 +151,7 @@
         context.close();
     }
 
-    void onThread(Runnable task) {
+    void onEventLoop(Runnable task) {
         if (context.executor().inEventLoop()) {
             task.run();
         } else {
@@ -157,9 +161,9 @@
 
     private void send(ClientCall next) {
         skipping = false;
-        started = false;
+        headReceived = false;
         next.bind(this);
-        remember(next.name());
+        recordName(next.correlationId());
         HttpRequestMessage m = next.message();
         HttpHeaders headers = HttpFields.headers(m.fields());
         if (m.body().length > 0 || !m.method().equals("GET")) {
@@ -174,18 +178,18 @@
                 EmptyHttpHeaders.INSTANCE));
     }
 
-    private void remember(String name) {
+    private void recordName(String name) {
         if (name.isEmpty()) {
             return;
         }
-        if (names.size() >= NAMES_MOST) {
+        if (names.size() >= MAX_NAMES) {
             names.removeFirst();
         }
         names.addLast(name);
     }
 
-    private void take(HttpObject message) {
-        if (answered != null) {
+    private void process(HttpObject message) {
+        if (answeredCall != null) {
             reusable = false;
             return;
         }
@@ -194,7 +198,7 @@
             return;
         }
         if (failed || message.decoderResult().isFailure()) {
-            breakOff();
+            failCall();
             return;
         }
         if (message instanceof HttpResponse r) {
@@ -212,7 +216,7 @@
         if (skipping) {
             return;
         }
-        started = true;
+        headReceived = true;
         reusable = HttpUtil.isKeepAlive(response);
         HttpFields.find(fields, HttpFields.KEEP_ALIVE)
                 .flatMap(ClientConnection::timeout)
@@ -222,7 +226,7 @@
 
     private void content(HttpContent content) {
         boolean ends = content instanceof LastHttpContent;
-        if (skipping || !started) {
+        if (skipping || !headReceived) {
             skipping = skipping && !ends;
             return;
         }
@@ -233,18 +237,18 @@
             call.data(bytes);
         }
         if (ends && call != null) {
-            answered = finish();
+            answeredCall = detachCall();
         }
     }
 
-    /** Ends an answered request, once all that came with the answer has been seen. */
-    private void settle() {
-        if (answered == null) {
+    /** Completes an answered request, once all data that arrived with the answer has been processed. */
+    private void completeAnsweredCall() {
+        if (answeredCall == null) {
             return;
         }
-        ClientCall done = answered;
-        answered = null;
-        reading(true);
+        ClientCall done = answeredCall;
+        answeredCall = null;
+        setAutoRead(true);
         if (reusable && !closed && context.channel().isActive()) {
             idleSince = pool.timers().nanos();
             pool.release(this);
@@ -254,13 +258,13 @@
         done.end();
     }
 
-    private void breakOff() {
-        ClientCall given = finish();
+    private void failCall() {
+        ClientCall failedCall = detachCall();
         close();
-        given.broken();
+        failedCall.broken();
     }
 
-    private ClientCall finish() {
+    private ClientCall detachCall() {
         ClientCall done = call;
         call = null;
         return done;
@@ -268,6 +272,8 @@
 
     private static Optional<Long> timeout(String keepAlive) {
         Matcher m = TIMEOUT.matcher(keepAlive);
-        return m.find() ? Optional.of((long) (Long.parseLong(m.group(1)) * SECOND * IDLE_SHARE)) : Optional.empty();
+        return m.find()
+                ? Optional.of((long) (Long.parseLong(m.group(1)) * NANOS_PER_SECOND * IDLE_SHARE))
+                : Optional.empty();
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpCall.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpCall.java
@@ -1,15 +1,15 @@
 package org.verbenadyke.node.http1;
 
 /**
- * A request under way.
+ * A request in flight on a pooled connection.
  */
 public interface HttpCall {
-    /** Lets one more part of the body come; parts come freely until {@link #throttle} is called. */
+    /** Requests one more part of the body; without a call to {@link #throttle}, parts arrive without requests. */
     void request();
 
-    /** From now on, lets the body come by {@link #request} only. */
+    /** Enables flow control: from now on, parts of the body arrive only on {@link #request}. */
     void throttle();
 
-    /** Gives the request up; its connection ends, and the listener hears nothing more. */
+    /** Cancels the request: closes its connection and makes no further calls to the listener. */
     void cancel();
 }
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
@@ -6,27 +6,27 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * A request on a connection, and the way to answer it. Answers may come from any thread, in order.
+ * A request on a connection, and the means to answer it. Methods may be called from any thread, in the answer's order.
  */
 public interface HttpExchange {
     /**
      * Returns the request.
      *
-     * @return the request, whole
+     * @return the complete request
      */
     HttpRequestMessage request();
 
     /**
-     * Answers in one go.
+     * Sends a complete answer.
      *
      * @param status the HTTP status
-     * @param fields the header fields; the length is added
+     * @param fields the header fields; the content length is added
      * @param body the body
      */
     void answer(int status, List<HeaderField> fields, byte[] body);
 
     /**
-     * Begins an answer. Without a length among the fields, the body goes out in chunks.
+     * Starts an answer. Without a content length among the fields, the body is sent with chunked encoding.
      *
      * @param status the HTTP status
      * @param fields the header fields
@@ -43,20 +43,20 @@
     /** Ends the answer. */
     void end();
 
-    /** Breaks the answer off: the connection ends, so that the caller can tell. */
+    /** Aborts the answer: closes the connection, so that the caller notices. */
     void abort();
 
     /**
-     * Subscribes to the caller's leaving before the answer is complete.
+     * Sets the task to run if the caller disconnects before the answer is complete.
      *
      * @param task runs at most once
      */
     void onGone(Runnable task);
 
     /**
-     * Subscribes to the parts of the body that went out.
+     * Sets the callback for the parts of the body that were sent.
      *
-     * @param taker takes their lengths in bytes
+     * @param callback receives the length of each sent part, in bytes
      */
-    void onSent(IntConsumer taker);
+    void onSent(IntConsumer callback);
 }
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpFields.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpFields.java
@@ -15,28 +15,28 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Header fields as lists, in their order on the wire.
+ * Helpers for header fields that are kept as lists, in their order on the wire.
  */
 public final class HttpFields {
     /** The length of a body. */
     public static final String CONTENT_LENGTH = "content-length";
 
-    /** The server that a request is for. */
+    /** The host that a request is addressed to. */
     public static final String HOST = "host";
 
-    /** When a refused caller may come back. */
+    /** How long a refused caller should wait before a retry. */
     public static final String RETRY_AFTER = "retry-after";
 
-    /** How a caller that isn't known is to say who it is. */
+    /** The authentication scheme that an unidentified caller must use. */
     public static final String WWW_AUTHENTICATE = "www-authenticate";
 
-    /** Whether a connection stays open. */
+    /** Connection options, such as whether the connection stays open. */
     public static final String CONNECTION = "connection";
 
-    /** How long a connection is kept without a request. */
+    /** How long an idle connection is kept open. */
     public static final String KEEP_ALIVE = "keep-alive";
 
-    private static final Set<String> ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             CONNECTION,
             KEEP_ALIVE,
             "proxy-connection",
@@ -48,17 +48,17 @@
             "upgrade",
             "expect");
 
-    private static final Set<String> USUAL = Set.of(KEEP_ALIVE, "close");
+    private static final Set<String> COMMON_CONNECTION_OPTIONS = Set.of(KEEP_ALIVE, "close");
     private static final Pattern COMMA = Pattern.compile("\\s*,\\s*");
 
     private HttpFields() {}
 
     /**
-     * Finds a field.
+     * Finds a field by its name.
      *
      * @param fields the fields
-     * @param name its name, in lower case
-     * @return its first value
+     * @param name the name, in lower case
+     * @return the first value, empty if there is no such field
      */
     public static Optional<String> find(List<HeaderField> fields, String name) {
         for (HeaderField f : fields) {
@@ -84,17 +84,17 @@
     }
 
     /**
-     * Returns the fields that concern the request or answer, without those that concern one connection only.
+     * Returns the end-to-end fields: all but the hop-by-hop fields and those that a Connection field lists.
      *
      * @param fields the fields
-     * @return those that are passed on, the length of the body among them
+     * @return the fields to forward, which include the length of the body
      */
     public static List<HeaderField> endToEnd(List<HeaderField> fields) {
-        Set<String> named = named(fields);
+        Set<String> named = connectionOptions(fields);
         List<HeaderField> kept = new ArrayList<>(fields.size());
         for (HeaderField f : fields) {
             String name = f.name().toLowerCase(Locale.ROOT);
-            if (!ONE_CONNECTION.contains(name) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !named.contains(name)) {
                 kept.add(f);
             }
         }
@@ -116,10 +116,11 @@
         return headers;
     }
 
-    /** The fields that a Connection field names as its own. */
-    private static Set<String> named(List<HeaderField> fields) {
+    /** Returns the names of the fields that the Connection field marks as hop-by-hop. */
+    private static Set<String> connectionOptions(List<HeaderField> fields) {
         Optional<String> connection = find(fields, CONNECTION);
-        if (connection.isEmpty() || USUAL.contains(connection.get().toLowerCase(Locale.ROOT))) {
+        if (connection.isEmpty()
+                || COMMON_CONNECTION_OPTIONS.contains(connection.get().toLowerCase(Locale.ROOT))) {
             return Set.of();
         }
         return new HashSet<>(
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpHandler.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpHandler.java
@@ -1,14 +1,14 @@
 package org.verbenadyke.node.http1;
 
 /**
- * Takes the requests of a server.
+ * Handles the requests that an {@link HttpServer} receives.
  */
 @FunctionalInterface
 public interface HttpHandler {
     /**
-     * Takes a request. Runs on the connection's thread and must not block.
+     * Handles a request. Runs on the connection's event loop and must not block.
      *
-     * @param exchange the request and the way to answer it
+     * @param exchange the request and the means to answer it
      */
     void handle(HttpExchange exchange);
 }
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.node.transport.Loops;
-import org.verbenadyke.node.transport.ServerPresence;
+import org.verbenadyke.node.transport.ServerProbe;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -19,8 +19,8 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 
 /**
- * Connections to one server, one request at a time on each. The connection used last is used first, so that as few as
- * the load needs stay open. A request is sent once and never again by itself.
+ * A pool of connections to one server, with one request at a time on each. The most recently used connection is reused
+ * first, so that only as many stay open as the load needs. The pool never retries a request.
  */
 public final class HttpPool implements AutoCloseable {
     private static final int HEADER_BYTES = 32 * 1024;
@@ -31,8 +31,8 @@
     private final PoolSettings settings;
     private final Deque<ClientConnection> idle = new ConcurrentLinkedDeque<>();
     private final Set<ClientConnection> open = ConcurrentHashMap.newKeySet();
-    private final ServerPresence presence;
-    private volatile Runnable absent = () -> {};
+    private final ServerProbe probe;
+    private volatile Runnable connectionRefusedListener = () -> {};
     private volatile boolean closed;
 
     private HttpPool(Endpoint server, Loops loops, TimerService timers, PoolSettings settings) {
@@ -40,16 +40,16 @@
         this.loops = loops;
         this.timers = timers;
         this.settings = settings;
-        this.presence = ServerPresence.of(server, loops, () -> absent.run());
+        this.probe = ServerProbe.of(server, loops, () -> connectionRefusedListener.run());
     }
 
     /**
-     * Creates a pool without connections.
+     * Creates an empty pool.
      *
-     * @param server where the server listens
-     * @param loops the threads that serve connections
-     * @param timers the time
-     * @param settings how connections are kept
+     * @param server the server's address
+     * @param loops the event loops that serve connections
+     * @param timers the clock and the timers
+     * @param settings the timeouts of connections
      * @return the pool
      */
     public static HttpPool to(Endpoint server, Loops loops, TimerService timers, PoolSettings settings) {
@@ -57,27 +57,27 @@
     }
 
     /**
-     * Sends a request whose answer doesn't name it.
+     * Sends a request without a correlation id.
      *
      * @param request the request
-     * @param listener takes its answer
-     * @return the request under way
+     * @param listener receives the answer
+     * @return the request in flight
      */
     public HttpCall send(HttpRequestMessage request, AnswerListener listener) {
         return send(request, "", listener);
     }
 
     /**
-     * Sends a request, over a connection that has not carried one of the same name lately.
+     * Sends a request, over a connection that has not recently carried one with the same correlation id.
      *
      * @param request the request
-     * @param name how its answer names it, empty if it doesn't
-     * @param listener takes its answer
-     * @return the request under way
+     * @param correlationId the id that the answer repeats, empty if there is none
+     * @param listener receives the answer
+     * @return the request in flight
      */
-    public HttpCall send(HttpRequestMessage request, String name, AnswerListener listener) {
-        ClientCall call = new ClientCall(request, name, listener);
-        ClientConnection connection = fresh(name);
+    public HttpCall send(HttpRequestMessage request, String correlationId, AnswerListener listener) {
+        ClientCall call = new ClientCall(request, correlationId, listener);
+        ClientConnection connection = takeIdle(correlationId);
         if (connection != null) {
             connection.start(call);
             return call;
@@ -87,15 +87,15 @@
     }
 
     /**
-     * Returns the connections.
+     * Returns the number of open connections.
      *
-     * @return how many are open
+     * @return the number
      */
     public int size() {
         return open.size();
     }
 
-    /** Closes the idle connections, and each other one after its request. */
+    /** Closes the idle connections, and each busy one after its current request. */
     @Override
     public void close() {
         closed = true;
@@ -117,16 +117,16 @@
     }
 
     /**
-     * Subscribes to the news that the server refuses connections, so that it has ended.
+     * Sets the listener for refused connections. A refusal means that the server process has ended.
      *
-     * @param listener is told each time that a connection is refused
+     * @param listener is called each time that a connection is refused
      */
     public void onAbsent(Runnable listener) {
-        absent = listener;
+        connectionRefusedListener = listener;
     }
 
-    ServerPresence presence() {
-        return presence;
+    ServerProbe probe() {
+        return probe;
     }
 
     void opened(ClientConnection connection) {
@@ -146,10 +146,10 @@
         idle.push(connection);
     }
 
-    private ClientConnection fresh(String name) {
+    private ClientConnection takeIdle(String correlationId) {
         long now = timers.nanos();
         for (ClientConnection c : idle) {
-            if (c.carried(name) || !idle.remove(c)) {
+            if (c.hasCarried(correlationId) || !idle.remove(c)) {
                 continue;
             }
             if (c.usable(now)) {
@@ -178,8 +178,8 @@
                 })
                 .connect(new InetSocketAddress(server.host(), server.port()))
                 .addListener(f -> {
-                    if (ServerPresence.refused(f.cause())) {
-                        absent.run();
+                    if (ServerProbe.isConnectionRefused(f.cause())) {
+                        connectionRefusedListener.run();
                     }
                     if (!f.isSuccess()) {
                         call.unreachable();
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * A whole request.
+ * A complete HTTP request, held in memory.
  *
  * @param method the method
  * @param target the path and query
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Finds a header field.
+     * Finds a header field by its name.
      *
-     * @param name its name
-     * @return its first value
+     * @param name the name
+     * @return the first value, empty if there is no such field
      */
     public Optional<String> field(String name) {
         return HttpFields.find(fields, name);
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
@@ -22,14 +22,14 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 /**
- * An HTTP/1.1 server on Netty's codec. Used where ServiceTalk's server tells too little: when a caller has left, which
- * connections are idle, and which request was read when a connection is closed.
+ * An HTTP/1.1 server on Netty's codec. Used where ServiceTalk's server doesn't expose enough: when a caller
+ * disconnects, which connections are idle, and which request was read when a connection is closed.
  */
 public final class HttpServer implements AutoCloseable {
-    /** Connections that wait to be accepted; a burst of new connections must not overflow it. */
+    /** The accept queue's length; a burst of new connections must not overflow the queue. */
     private static final int BACKLOG = 1_024;
 
-    /** How often idle connections are looked for, in nanoseconds: coarse, since idle times are seconds. */
+    /** How often idle connections are closed, in nanoseconds: coarse, since idle timeouts are seconds. */
     private static final long SWEEP_NANOS = 1_000_000_000L;
 
     private static final int INITIAL_LINE_BYTES = 8_192;
@@ -52,10 +52,10 @@
      * Starts a server.
      *
      * @param endpoint the address
-     * @param loops the threads that serve connections
-     * @param timers the time
-     * @param limits what each new connection accepts
-     * @param handler takes the requests
+     * @param loops the event loops that serve connections
+     * @param timers the clock and the timers
+     * @param limits supplies the limits of each new connection
+     * @param handler handles the requests
      * @return the server
      * @throws VerbenadykeException with {@link ErrorCode#PORT_IN_USE}
      */
@@ -75,7 +75,7 @@
         return server;
     }
 
-    /** Takes no more connections, closes the idle ones, and lets each other end after its current request. */
+    /** Stops accepting connections, closes the idle ones, and closes each busy one after its current request. */
     public void retire() {
         closing = true;
         listener.close();
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Returns the connections.
+     * Returns the number of open connections.
      *
-     * @return how many are open
+     * @return the number
      */
     public int connections() {
         return connections.size();
--- a/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
@@ -7,13 +7,13 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * The way to the upstream beside the node over a pool of connections. An answer of up to {@link #WHOLE_MOST} bytes is
- * passed on when it is whole, so that one that breaks off can still be tried again; a longer one is passed on as it
- * comes.
+ * Sends calls to the upstream that the node is colocated with, over a pool of connections. An answer of up to
+ * {@link #MAX_BUFFERED_BYTES} bytes is buffered and forwarded once it is complete, so that a call whose answer is cut
+ * short can still be retried; a longer answer is streamed.
  */
 public final class PooledUpstream implements UpstreamPort, AutoCloseable {
-    /** The longest answer that is held until it is whole, in bytes: some tens of times a common record. */
-    public static final int WHOLE_MOST = 64 * 1024;
+    /** The longest answer that is buffered until it is complete, in bytes: some tens of times a common record. */
+    public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     private final HttpPool pool;
     private final UpstreamDialect dialect;
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Creates the way to an upstream.
+     * Creates the port to an upstream.
      *
-     * @param pool the connections
-     * @param dialect how the upstream is spoken to
-     * @return the way
+     * @param pool the connections to the upstream
+     * @param dialect maps calls to HTTP requests and answers to outcomes
+     * @return the port
      */
     public static PooledUpstream over(HttpPool pool, UpstreamDialect dialect) {
         return new PooledUpstream(pool, dialect);
@@ -36,7 +36,7 @@
 
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
-        Running running = new Running(handOver, listener);
+        PooledExchange running = new PooledExchange(handOver, listener);
         running.call = pool.send(dialect.request(handOver), dialect.name(handOver), running);
         return running;
     }
@@ -47,25 +47,25 @@
     }
 
     /**
-     * One call at the upstream.
+     * One call to the upstream and its answer.
      */
-    private final class Running implements Exchange, AnswerListener {
+    private final class PooledExchange implements Exchange, AnswerListener {
         private final HandOver handOver;
         private final Listener listener;
         private HttpCall call;
-        private UpstreamDialect.Verdict verdict;
+        private UpstreamDialect.Verdict answerKind;
         private int status;
         private List<HeaderField> fields;
-        private ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        private ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
-        private Running(HandOver handOver, Listener listener) {
+        private PooledExchange(HandOver handOver, Listener listener) {
             this.handOver = handOver;
             this.listener = listener;
         }
 
         @Override
         public void request() {
-            if (whole == null) {
+            if (buffer == null) {
                 call.request();
             }
         }
@@ -93,44 +93,44 @@
         public void head(int newStatus, List<HeaderField> newFields) {
             status = newStatus;
             fields = HttpFields.endToEnd(newFields);
-            verdict = dialect.verdict(newStatus, newFields);
+            answerKind = dialect.verdict(newStatus, newFields);
         }
 
         @Override
         public void data(byte[] bytes) {
-            if (verdict != UpstreamDialect.Verdict.ANSWER) {
+            if (answerKind != UpstreamDialect.Verdict.ANSWER) {
                 return;
             }
-            if (whole == null) {
+            if (buffer == null) {
                 listener.data(bytes);
                 return;
             }
-            whole.writeBytes(bytes);
-            if (whole.size() > WHOLE_MOST) {
-                byte[] begun = whole.toByteArray();
-                whole = null;
+            buffer.writeBytes(bytes);
+            if (buffer.size() > MAX_BUFFERED_BYTES) {
+                byte[] prefix = buffer.toByteArray();
+                buffer = null;
                 call.throttle();
                 listener.head(status, fields);
-                listener.data(begun);
+                listener.data(prefix);
             }
         }
 
         @Override
         public void end() {
             dialect.ended(handOver);
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
                 listener.notRun();
-            } else if (verdict == UpstreamDialect.Verdict.UNUSABLE) {
+            } else if (answerKind == UpstreamDialect.Verdict.UNUSABLE) {
                 listener.broken();
             } else {
-                ended();
+                deliverAnswer();
             }
         }
 
         @Override
         public void broken() {
             dialect.ended(handOver);
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
                 listener.notRun();
                 return;
             }
@@ -139,19 +139,19 @@
 
         @Override
         public void closed() {
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
                 broken();
                 return;
             }
             dialect.ended(handOver);
-            pool.presence().explainBreak(listener);
+            pool.probe().reportBreakCause(listener);
         }
 
-        private void ended() {
-            if (whole != null) {
+        private void deliverAnswer() {
+            if (buffer != null) {
                 listener.head(status, fields);
-                if (whole.size() > 0) {
-                    listener.data(whole.toByteArray());
+                if (buffer.size() > 0) {
+                    listener.data(buffer.toByteArray());
                 }
             }
             listener.end();
--- a/node/src/main/java/org/verbenadyke/node/http1/ServerConnection.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ServerConnection.java
@@ -26,25 +26,26 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection of a caller: collects each request, hands it over, and takes the next when the answer is complete.
- * What arrives meanwhile waits; the socket is read on, so that the caller's leaving is noticed at once.
+ * One connection of a caller: collects each request, passes the request to the handler, and starts the next one when
+ * the answer is complete. Data that arrives meanwhile is queued; reading goes on, so that a disconnect of the caller is
+ * noticed at once.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LogManager.getLogger("http");
 
-    /** Parts of later requests that are held before reading stops. */
-    private static final int HELD_MOST = 16;
+    /** The number of queued parts of later requests beyond which reading stops. */
+    private static final int MAX_PENDING_MESSAGES = 16;
 
     private final HttpServer server;
     private final ServerLimits limits;
-    private final Deque<HttpObject> held = new ArrayDeque<>();
+    private final Deque<HttpObject> pendingMessages = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private HttpRequest head;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     private ServerExchange exchange;
-    private volatile long quietSince;
+    private volatile long idleSince;
     private volatile boolean busy;
-    private boolean ending;
+    private boolean closeRequested;
 
     ServerConnection(HttpServer server, ServerLimits limits) {
         this.server = server;
@@ -54,7 +55,7 @@
     @Override
     public void channelActive(ChannelHandlerContext newContext) {
         context = newContext;
-        quietSince = server.timers().nanos();
+        idleSince = server.timers().nanos();
         server.opened(this);
         if (server.closing()) {
             context.close();
@@ -64,24 +65,24 @@
     @Override
     public void channelRead(ChannelHandlerContext ignored, Object message) {
         if (exchange != null) {
-            held.add((HttpObject) message);
-            if (held.size() > HELD_MOST) {
+            pendingMessages.add((HttpObject) message);
+            if (pendingMessages.size() > MAX_PENDING_MESSAGES) {
                 context.channel().config().setAutoRead(false);
             }
             return;
         }
-        take((HttpObject) message);
+        process((HttpObject) message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ignored) {
         server.ended(this);
-        held.forEach(ReferenceCountUtil::release);
-        held.clear();
+        pendingMessages.forEach(ReferenceCountUtil::release);
+        pendingMessages.clear();
         body.release();
         body = Unpooled.EMPTY_BUFFER;
         if (exchange != null) {
-            exchange.callerGone();
+            exchange.callerDisconnected();
         }
     }
 
@@ -98,8 +99,8 @@
     }
 
     void closeIfIdle(long now) {
-        boolean over = server.closing() || now - quietSince > limits.idleNanos();
-        if (!busy && over) {
+        boolean expired = server.closing() || now - idleSince > limits.idleNanos();
+        if (!busy && expired) {
             context.executor().execute(() -> {
                 if (!busy) {
                     context.close();
@@ -112,50 +113,50 @@
         return context;
     }
 
-    /** Tells whether the connection ends after the answer under way. */
-    boolean endsAfter() {
-        return ending || server.closing();
+    /** Returns whether the connection closes after the current answer. */
+    boolean closesAfterAnswer() {
+        return closeRequested || server.closing();
     }
 
-    void finished(ServerExchange done) {
+    void exchangeFinished(ServerExchange done) {
         if (exchange != done) {
             return;
         }
         exchange = null;
         busy = false;
-        quietSince = server.timers().nanos();
-        if (done.lastOfConnection()) {
+        idleSince = server.timers().nanos();
+        if (done.closesConnection()) {
             return;
         }
-        while (exchange == null && !held.isEmpty()) {
-            take(held.poll());
+        while (exchange == null && !pendingMessages.isEmpty()) {
+            process(pendingMessages.poll());
         }
-        if (held.size() <= HELD_MOST) {
+        if (pendingMessages.size() <= MAX_PENDING_MESSAGES) {
             context.channel().config().setAutoRead(true);
         }
     }
 
-    private void take(HttpObject message) {
+    private void process(HttpObject message) {
         try {
             if (message.decoderResult().isFailure()) {
                 reject(statusOf(message.decoderResult().cause()));
                 return;
             }
             if (message instanceof HttpRequest r) {
-                begin(r);
+                beginRequest(r);
             }
             if (message instanceof HttpContent c && head != null) {
-                collect(c);
+                appendBody(c);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpRequest request) {
+    private void beginRequest(HttpRequest request) {
         busy = true;
         head = request;
-        ending = !HttpUtil.isKeepAlive(request);
+        closeRequested = !HttpUtil.isKeepAlive(request);
         body = Unpooled.EMPTY_BUFFER;
         if (HttpUtil.getContentLength(request, 0L) > limits.bodyBytes()) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -164,7 +165,7 @@
         }
     }
 
-    private void collect(HttpContent content) {
+    private void appendBody(HttpContent content) {
         int more = content.content().readableBytes();
         if (body.readableBytes() + more > limits.bodyBytes()) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -177,11 +178,11 @@
             body.writeBytes(content.content());
         }
         if (content instanceof LastHttpContent) {
-            handOver();
+            dispatchRequest();
         }
     }
 
-    private void handOver() {
+    private void dispatchRequest() {
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
         body.release();
--- a/node/src/main/java/org/verbenadyke/node/http1/ServerExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ServerExchange.java
@@ -20,16 +20,16 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * One request of a connection and its answer. Its state belongs to the connection's thread.
+ * One request on a server connection and its answer. State is confined to the connection's event loop.
  */
 final class ServerExchange implements HttpExchange {
     private final ServerConnection connection;
     private final ChannelHandlerContext context;
     private final HttpRequestMessage request;
-    private Runnable gone = () -> {};
-    private IntConsumer sent = n -> {};
+    private Runnable disconnectHandler = () -> {};
+    private IntConsumer sentCallback = n -> {};
     private boolean done;
-    private boolean last;
+    private boolean closesConnection;
 
     ServerExchange(ServerConnection connection, HttpRequestMessage request) {
         this.connection = connection;
@@ -44,7 +44,7 @@
 
     @Override
     public void answer(int status, List<HeaderField> fields, byte[] body) {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (done) {
                 return;
             }
@@ -55,7 +55,7 @@
                     HttpFields.headers(fields),
                     EmptyHttpHeaders.INSTANCE);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            markLast(response.headers());
+            markConnectionClose(response.headers());
             context.write(response, context.voidPromise());
             complete();
         });
@@ -63,7 +63,7 @@
 
     @Override
     public void head(int status, List<HeaderField> fields) {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (done) {
                 return;
             }
@@ -72,24 +72,24 @@
             if (!HttpUtil.isContentLengthSet(response)) {
                 HttpUtil.setTransferEncodingChunked(response, true);
             }
-            markLast(response.headers());
+            markConnectionClose(response.headers());
             context.write(response, context.voidPromise());
         });
     }
 
     @Override
     public void data(byte[] bytes) {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (!done) {
                 context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)))
-                        .addListener(f -> sent.accept(bytes.length));
+                        .addListener(f -> sentCallback.accept(bytes.length));
             }
         });
     }
 
     @Override
     public void end() {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (!done) {
                 context.write(LastHttpContent.EMPTY_LAST_CONTENT, context.voidPromise());
                 complete();
@@ -99,11 +99,11 @@
 
     @Override
     public void abort() {
-        onThread(() -> {
+        onEventLoop(() -> {
             if (!done) {
                 done = true;
-                last = true;
-                connection.finished(this);
+                closesConnection = true;
+                connection.exchangeFinished(this);
                 context.close();
             }
         });
@@ -111,45 +111,45 @@
 
     @Override
     public void onGone(Runnable task) {
-        gone = task;
+        disconnectHandler = task;
     }
 
     @Override
-    public void onSent(IntConsumer taker) {
-        sent = taker;
+    public void onSent(IntConsumer callback) {
+        sentCallback = callback;
     }
 
-    /** Takes notice that the connection ended. */
-    void callerGone() {
+    /** Called when the connection was closed. */
+    void callerDisconnected() {
         if (!done) {
             done = true;
-            last = true;
-            gone.run();
+            closesConnection = true;
+            disconnectHandler.run();
         }
     }
 
-    boolean lastOfConnection() {
-        return last;
+    boolean closesConnection() {
+        return closesConnection;
     }
 
-    private void markLast(HttpHeaders headers) {
-        last = connection.endsAfter();
-        if (last) {
+    private void markConnectionClose(HttpHeaders headers) {
+        closesConnection = connection.closesAfterAnswer();
+        if (closesConnection) {
             headers.set(HttpHeaderNames.CONNECTION, "close");
         }
     }
 
     private void complete() {
         done = true;
-        if (last) {
+        if (closesConnection) {
             context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         } else {
             context.flush();
         }
-        connection.finished(this);
+        connection.exchangeFinished(this);
     }
 
-    private void onThread(Runnable task) {
+    private void onEventLoop(Runnable task) {
         if (context.executor().inEventLoop()) {
             task.run();
         } else {
--- a/node/src/main/java/org/verbenadyke/node/http1/ServerLimits.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ServerLimits.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.node.http1;
 
 /**
- * What one server connection accepts.
+ * The limits of one server connection.
  *
- * @param headerBytes the most bytes of a request's head
- * @param bodyBytes the most bytes of a request's body; bodies are held whole
- * @param idleNanos how long a connection without a request is kept, in nanoseconds
+ * @param headerBytes the maximum size of a request's head, in bytes
+ * @param bodyBytes the maximum size of a request's body, in bytes; bodies are held in memory as a whole
+ * @param idleNanos how long an idle connection is kept open, in nanoseconds
  */
 public record ServerLimits(int headerBytes, int bodyBytes, long idleNanos) {}
--- a/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
@@ -6,59 +6,59 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * How an upstream is spoken to over HTTP: which header fields say what.
+ * Maps calls to an upstream's HTTP requests and classifies its answers by their header fields.
  */
 public interface UpstreamDialect {
     /**
-     * Words a call.
+     * Builds the HTTP request of a call.
      *
      * @param handOver the call
-     * @return the request that the upstream gets
+     * @return the request to send to the upstream
      */
     HttpRequestMessage request(UpstreamPort.HandOver handOver);
 
     /**
-     * Names a call as its answers name it.
+     * Returns the correlation id that the upstream repeats in its answer to a call.
      *
      * @param handOver the call
-     * @return the name, empty if it has none
+     * @return the id, empty if the call has none
      */
     String name(UpstreamPort.HandOver handOver);
 
     /**
-     * Tells whether an answer belongs to a call.
+     * Returns whether an answer belongs to a call.
      *
      * @param handOver the call
      * @param fields the answer's header fields
-     * @return whether it does
+     * @return whether the answer belongs to the call
      */
     boolean matches(UpstreamPort.HandOver handOver, List<HeaderField> fields);
 
     /**
-     * Tells what an answer's head says of the call.
+     * Classifies an answer by its head.
      *
      * @param status the HTTP status
      * @param fields the header fields
-     * @return what it says
+     * @return the kind of answer
      */
     Verdict verdict(int status, List<HeaderField> fields);
 
     /**
-     * Takes notice that a call has ended, however.
+     * Called when a call has ended, whatever its outcome.
      *
      * @param handOver the call
      */
     void ended(UpstreamPort.HandOver handOver);
 
     /**
-     * What an answer says of its call.
+     * The kind of answer to a call.
      */
     enum Verdict {
-        /** It is the upstream's answer. */
+        /** A regular answer of the upstream. */
         ANSWER,
         /** The upstream did not run the call and never will. */
         NOT_RUN,
-        /** It can't be an answer that the upstream meant to give. */
+        /** Not a valid answer to the call; whether the call ran is unknown. */
         UNUSABLE
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
+++ b/node/src/main/java/org/verbenadyke/node/log/HttpLogService.java
@@ -26,10 +26,10 @@
 import io.servicetalk.transport.api.IoExecutor;
 
 /**
- * The log service over HTTP: {@code POST /streams/NAME} appends, {@code GET /streams/NAME?from=OFFSET&wait=MILLIS}
- * reads.
+ * A client of the log service over HTTP: {@code POST /streams/NAME} appends, {@code GET
+ * /streams/NAME?from=OFFSET&wait=MILLIS} reads.
  */
-public final class HttpLog implements LogService, AutoCloseable {
+public final class HttpLogService implements LogService, AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration APPEND_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration READ_SLACK = Duration.ofSeconds(2);
@@ -37,19 +37,19 @@
 
     private final HttpClient client;
 
-    private HttpLog(HttpClient client) {
+    private HttpLogService(HttpClient client) {
         this.client = client;
     }
 
     /**
-     * Creates a client; it connects when used.
+     * Creates a client, which connects on first use.
      *
-     * @param address where the service listens
+     * @param address the service's address
      * @param executor the threads that serve connections
      * @return the client
      */
-    public static HttpLog at(Endpoint address, IoExecutor executor) {
-        return new HttpLog(HttpClients.forSingleAddress(address.host(), address.port())
+    public static HttpLogService at(Endpoint address, IoExecutor executor) {
+        return new HttpLogService(HttpClients.forSingleAddress(address.host(), address.port())
                 .ioExecutor(executor)
                 .executionStrategy(HttpExecutionStrategies.offloadNone())
                 .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
@@ -57,23 +57,23 @@
     }
 
     @Override
-    public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+    public void append(String stream, String key, byte[] record, Consumer<Appended> callback) {
         Single<HttpResponse> answer = client.request(client.post("/streams/" + stream)
                 .payloadBody(client.executionContext().bufferAllocator().wrap(record)));
         answer.timeout(APPEND_TIMEOUT)
-                .map(HttpLog::appended)
-                .onErrorReturn(HttpLog::appendFailure)
-                .subscribe(taker::accept);
+                .map(HttpLogService::parseAppended)
+                .onErrorReturn(HttpLogService::appendFailure)
+                .subscribe(callback::accept);
     }
 
     @Override
-    public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+    public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> callback) {
         String target = "/streams/" + stream + "?from=" + fromOffset + "&wait=" + waitMillis;
         client.request(client.get(target))
                 .timeout(READ_SLACK.plusMillis(waitMillis))
-                .map(HttpLog::records)
+                .map(HttpLogService::parseRecords)
                 .onErrorReturn(e -> new Read.Failed(String.valueOf(e.getMessage())))
-                .subscribe(taker::accept);
+                .subscribe(callback::accept);
     }
 
     @Override
@@ -81,11 +81,11 @@
         client.closeAsync().subscribe();
     }
 
-    private static Appended appended(HttpResponse response) {
+    private static Appended parseAppended(HttpResponse response) {
         if (response.status().code() != OK) {
             return new Appended.Failed("status " + response.status().code());
         }
-        return new Appended.At(json(response).path("offset").asLong());
+        return new Appended.At(parseJson(response).path("offset").asLong());
     }
 
     private static Appended appendFailure(Throwable failure) {
@@ -95,11 +95,11 @@
         return new Appended.Unknown(String.valueOf(failure.getMessage()));
     }
 
-    private static Read records(HttpResponse response) {
+    private static Read parseRecords(HttpResponse response) {
         if (response.status().code() != OK) {
             return new Read.Failed("status " + response.status().code());
         }
-        JsonNode node = json(response);
+        JsonNode node = parseJson(response);
         List<LogRecord> records = new ArrayList<>();
         for (JsonNode r : node.path("records")) {
             records.add(new LogRecord(
@@ -110,7 +110,7 @@
         return new Read.Records(node.path("first").asLong(), node.path("next").asLong(), records);
     }
 
-    private static JsonNode json(HttpResponse response) {
+    private static JsonNode parseJson(HttpResponse response) {
         try {
             return JSON.readTree(response.payloadBody().toString(StandardCharsets.UTF_8));
         } catch (JsonProcessingException e) {
--- a/node/src/main/java/org/verbenadyke/node/time/LoopTimerService.java
+++ b/node/src/main/java/org/verbenadyke/node/time/LoopTimerService.java
@@ -12,27 +12,27 @@
 import io.netty.util.concurrent.EventExecutor;
 
 /**
- * Timers on the thread that serves connections: exact, and without a wake-up a tick, which matters on a machine where
- * each wake-up is paid for. On that thread the clock is read once a turn of the loop: a request looks at it some tens
- * of times, and a turn is short against every time that is measured by it.
+ * Timers on an event loop that serves connections. They are exact and cause no wake-up per tick, which matters on a
+ * machine where each wake-up is costly. On the event loop the clock is read once per event-loop iteration: a request
+ * queries the clock some tens of times, and an iteration is short compared with every duration that is measured.
  */
 public final class LoopTimerService implements TimerService {
     private static final Logger LOG = LogManager.getLogger("timer");
 
     private final EventExecutor loop;
-    private final Runnable forget = () -> read = false;
+    private final Runnable clearCachedTime = () -> cached = false;
     private final long origin = System.nanoTime();
-    private boolean read;
-    private long now;
+    private boolean cached;
+    private long cachedNanos;
 
     private LoopTimerService(EventExecutor loop) {
         this.loop = loop;
     }
 
     /**
-     * Creates timers on a loop.
+     * Creates timers on an event loop.
      *
-     * @param loop the loop
+     * @param loop the event loop
      * @return the timers
      */
     public static LoopTimerService on(EventExecutor loop) {
@@ -44,12 +44,12 @@
         if (!loop.inEventLoop()) {
             return System.nanoTime();
         }
-        if (!read) {
-            read = true;
-            now = System.nanoTime();
-            loop.execute(forget);
+        if (!cached) {
+            cached = true;
+            cachedNanos = System.nanoTime();
+            loop.execute(clearCachedTime);
         }
-        return now;
+        return cachedNanos;
     }
 
     @Override
@@ -64,8 +64,9 @@
     }
 
     /**
-     * Runs a task at each multiple of its period from this process's start. Load pattern: many nodes with little to do
-     * on one machine, in which each wake-up is paid for; periods that divide each other then share their wake-ups.
+     * Runs a task at each multiple of its period, counted from the creation of the timer service. Load pattern: many
+     * nodes with little to do on one machine, where each wake-up is costly; periods that divide each other then share
+     * their wake-ups.
      */
     @Override
     public Subscription every(long periodNanos, Runnable task) {
@@ -76,7 +77,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("A timer's task failed; the others go on.", e);
+            LOG.error("A timer task failed; other timers continue.", e);
         }
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/time/WheelTimerService.java
+++ b/node/src/main/java/org/verbenadyke/node/time/WheelTimerService.java
@@ -10,7 +10,7 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * The timer service of a running node: one thread turns a wheel for all subscriptions.
+ * The timer service of a running node: a hashed timer wheel on one thread serves all subscriptions.
  */
 public final class WheelTimerService implements TimerService, AutoCloseable {
     private static final long TICK_MILLIS = 10;
--- a/node/src/main/java/org/verbenadyke/node/transport/Binding.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/Binding.java
@@ -8,19 +8,19 @@
 import io.netty.channel.ChannelFuture;
 
 /**
- * Waits until a port is bound.
+ * Awaits the binding of listening ports.
  */
 public final class Binding {
     private Binding() {}
 
     /**
-     * Waits until a port is bound. The outcome is read from the attempt: the channel of a failed one may still be open
-     * for a moment, and a node then seemed to listen in half of the tries.
+     * Waits until a port is bound. The outcome is read from the future, not from the channel: the channel of a failed
+     * attempt may stay open for a moment, so that about half of the failed attempts would pass for successful ones.
      *
-     * @param bound the attempt
+     * @param bound the attempt to bind
      * @param endpoint the address
-     * @param purpose what is to listen there
-     * @return the channel that listens
+     * @param purpose what listens at the address, for the error message
+     * @return the listening channel
      * @throws VerbenadykeException with {@link ErrorCode#PORT_IN_USE}
      */
     public static Channel await(ChannelFuture bound, Endpoint endpoint, String purpose) {
--- a/node/src/main/java/org/verbenadyke/node/transport/FrameDecoder.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/FrameDecoder.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.MessageToMessageDecoder;
 
 /**
- * Turns whole frames into messages.
+ * Decodes complete frames to messages.
  */
 final class FrameDecoder extends MessageToMessageDecoder<ByteBuf> {
     @Override
--- a/node/src/main/java/org/verbenadyke/node/transport/FrameEncoder.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/FrameEncoder.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.MessageToByteEncoder;
 
 /**
- * Turns messages into frames with their length in front.
+ * Encodes messages as length-prefixed frames.
  */
 final class FrameEncoder extends MessageToByteEncoder<Message> {
     @Override
--- a/node/src/main/java/org/verbenadyke/node/transport/Loops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/Loops.java
@@ -16,12 +16,12 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * The threads that serve connections, with the kinds of channels that run on them.
+ * The event loops that serve connections, with the channel types that they support.
  *
- * @param group the threads
- * @param server the kind of listening sockets
- * @param socket the kind of connections
- * @param datagram the kind of datagram sockets
+ * @param group the event loops
+ * @param server the channel type of listening sockets
+ * @param socket the channel type of connections
+ * @param datagram the channel type of datagram sockets
  */
 public record Loops(
         EventLoopGroup group,
@@ -29,23 +29,23 @@
         Class<? extends Channel> socket,
         Class<? extends Channel> datagram) {
     /**
-     * Starts threads of the Java platform's own selectors, which need no native library.
+     * Starts event loops on the Java platform's own selectors, which need no native library.
      *
-     * @param threads how many
-     * @return the threads
+     * @param threads the number of event loops
+     * @return the event loops
      */
     public static Loops nio(int threads) {
         return nio(threads, DefaultSelectStrategyFactory.INSTANCE);
     }
 
     /**
-     * Starts threads like {@link #nio}, which rest between two turns when they are busy; see {@link TurnPacing}.
+     * Starts event loops like {@link #nio} that rest between two iterations when they are busy; see {@link TurnPacing}.
      *
-     * @param threads how many
-     * @return the threads
+     * @param threads the number of event loops
+     * @return the event loops
      */
     public static Loops paced(int threads) {
-        return nio(threads, PacedSelect::create);
+        return nio(threads, PacedSelectStrategy::create);
     }
 
     private static Loops nio(int threads, SelectStrategyFactory select) {
--- a/node/src/main/java/org/verbenadyke/node/transport/NettyChannel.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/NettyChannel.java
@@ -7,8 +7,8 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * A connection as the decision logic sees it. Messages pass through a queue that only the connection's own thread
- * empties: written directly, a message of that thread would overtake those that other threads wrote before it.
+ * Adapts a Netty channel to the decision logic. Messages pass through a queue that only the connection's event loop
+ * drains: written directly, a message from the event loop would overtake messages that other threads wrote earlier.
  */
 final class NettyChannel implements Channel {
     private final io.netty.channel.Channel channel;
--- a/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
@@ -17,13 +17,13 @@
 import io.netty.handler.flush.FlushConsolidationHandler;
 
 /**
- * The connections between nodes: TCP, on the threads that also serve HTTP.
+ * Connects nodes over TCP, on the event loops that also serve HTTP.
  */
 public final class NettyTransport implements Transport {
     private static final int CONNECT_MILLIS = 1_000;
 
-    /** How many messages may go out in one write; the parts of an answer are sent together. */
-    private static final int FLUSHES_MOST = 64;
+    /** How many flushes may be consolidated into one write, so that the parts of an answer are sent together. */
+    private static final int MAX_CONSOLIDATED_FLUSHES = 64;
 
     private final Loops loops;
     private final Counters counters;
@@ -36,7 +36,7 @@
     /**
      * Creates a transport.
      *
-     * @param loops the threads that serve connections
+     * @param loops the event loops that serve connections
      * @param counters where rejected frames are counted
      * @return the transport
      */
@@ -48,8 +48,8 @@
      * Listens for other nodes.
      *
      * @param endpoint the address
-     * @param handlers makes the handler of each connection
-     * @return closes the listening socket
+     * @param handlers creates the handler of each connection
+     * @return the listening socket, to be closed
      */
     public AutoCloseable listen(Endpoint endpoint, Supplier<Handler> handlers) {
         InetSocketAddress address = new InetSocketAddress(endpoint.host(), endpoint.port());
@@ -84,7 +84,7 @@
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline()
-                        .addLast(new FlushConsolidationHandler(FLUSHES_MOST, true))
+                        .addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true))
                         .addLast(new LengthFieldBasedFrameDecoder(
                                 FrameCodec.FRAME_MOST, 0, FrameCodec.LENGTH_BYTES, 0, FrameCodec.LENGTH_BYTES))
                         .addLast(new FrameDecoder())
--- a/node/src/main/java/org/verbenadyke/node/transport/PacedSelect.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/PacedSelectStrategy.java
@@ -9,16 +9,17 @@
 import io.netty.util.IntSupplier;
 
 /**
- * Lets an event loop rest between two turns as {@link TurnPacing} says. A loop with tasks at hand runs them first.
+ * Lets an event loop rest between two iterations, for as long as {@link TurnPacing} returns. A loop with pending tasks
+ * doesn't rest but runs them first.
  */
-final class PacedSelect implements SelectStrategy {
+final class PacedSelectStrategy implements SelectStrategy {
     private final SelectStrategy select = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
     private final TurnPacing pacing = TurnPacing.quiet();
 
-    private PacedSelect() {}
+    private PacedSelectStrategy() {}
 
-    static PacedSelect create() {
-        return new PacedSelect();
+    static PacedSelectStrategy create() {
+        return new PacedSelectStrategy();
     }
 
     @Override
--- a/node/src/main/java/org/verbenadyke/node/transport/PeerHandler.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/PeerHandler.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.DecoderException;
 
 /**
- * Passes one connection's events to the decision logic. A malformed frame ends only its own connection.
+ * Passes the events of one connection to the decision logic. A malformed frame closes only its own connection.
  */
 final class PeerHandler extends SimpleChannelInboundHandler<Message> {
     private static final Logger LOG = LogManager.getLogger("transport");
--- a/node/src/main/java/org/verbenadyke/node/transport/SharedLoops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/ServiceTalkEventLoops.java
@@ -8,17 +8,17 @@
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutors;
 
 /**
- * Takes the threads that ServiceTalk serves HTTP on. Apart from {@link Loops}, so that a node without ServiceTalk needs
- * none of its libraries.
+ * Gives access to the event loops that ServiceTalk serves HTTP on. Separate from {@link Loops}, so that a node without
+ * ServiceTalk needs none of its libraries.
  */
-public final class SharedLoops {
-    private SharedLoops() {}
+public final class ServiceTalkEventLoops {
+    private ServiceTalkEventLoops() {}
 
     /**
-     * Returns the threads of an executor.
+     * Returns the event loops of an executor.
      *
      * @param executor the executor
-     * @return its threads
+     * @return the event loops
      */
     public static Loops of(IoExecutor executor) {
         EventLoopGroup group = EventLoopAwareNettyIoExecutors.toEventLoopAwareNettyIoExecutor(executor)
--- a/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
@@ -24,10 +24,10 @@
 import io.netty.channel.socket.DatagramPacket;
 
 /**
- * The datagrams between nodes: UDP on the same port number as the connections.
+ * Exchanges datagrams with other nodes: UDP on the same port number as the TCP connections between nodes.
  */
 public final class UdpPort implements DatagramPort, AutoCloseable {
-    private static final int DATAGRAM_MOST = 65_507;
+    private static final int MAX_DATAGRAM_BYTES = 65_507;
 
     private final Channel channel;
 
@@ -39,10 +39,10 @@
      * Listens for datagrams.
      *
      * @param endpoint the address
-     * @param loops the threads that serve connections
-     * @param counters where datagrams and records that can't be read are counted
-     * @param decisions takes what was wrong with them
-     * @param taker takes each datagram with its sender's address
+     * @param loops the event loops that serve connections
+     * @param counters where unreadable datagrams and records are counted
+     * @param decisions logs why they were skipped
+     * @param handler handles each datagram with its sender's address
      * @return the port
      */
     public static UdpPort listen(
@@ -50,12 +50,12 @@
             Loops loops,
             Counters counters,
             DecisionLog decisions,
-            BiConsumer<Endpoint, GossipMessage> taker) {
+            BiConsumer<Endpoint, GossipMessage> handler) {
         ChannelFuture bound = new Bootstrap()
                 .group(loops.group())
                 .channel(loops.datagram())
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(DATAGRAM_MOST))
-                .handler(new Receiver(counters, decisions, taker))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
+                .handler(new Receiver(counters, decisions, handler))
                 .bind(new InetSocketAddress(endpoint.host(), endpoint.port()));
         return new UdpPort(Binding.await(bound, endpoint, "datagrams"));
     }
@@ -63,7 +63,7 @@
     @Override
     public void send(Endpoint to, GossipMessage message) {
         byte[] bytes = GossipCodec.encode(message);
-        if (bytes.length <= DATAGRAM_MOST) {
+        if (bytes.length <= MAX_DATAGRAM_BYTES) {
             channel.writeAndFlush(
                     new DatagramPacket(Unpooled.wrappedBuffer(bytes), new InetSocketAddress(to.host(), to.port())),
                     channel.voidPromise());
@@ -76,17 +76,17 @@
     }
 
     /**
-     * Decodes what arrives; what can't be decoded is left out, noted and counted.
+     * Decodes datagrams; what can't be decoded is skipped, logged and counted.
      */
     private static final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         private final Counters counters;
         private final DecisionLog decisions;
-        private final BiConsumer<Endpoint, GossipMessage> taker;
+        private final BiConsumer<Endpoint, GossipMessage> handler;
 
-        private Receiver(Counters counters, DecisionLog decisions, BiConsumer<Endpoint, GossipMessage> taker) {
+        private Receiver(Counters counters, DecisionLog decisions, BiConsumer<Endpoint, GossipMessage> handler) {
             this.counters = counters;
             this.decisions = decisions;
-            this.taker = taker;
+            this.handler = handler;
         }
 
         @Override
@@ -98,17 +98,17 @@
                     packet.sender().getPort());
             GossipMessage message;
             try {
-                message = GossipCodec.decode(bytes, why -> skip(sender, why));
+                message = GossipCodec.decode(bytes, reason -> skip(sender, reason));
             } catch (VerbenadykeException e) {
                 skip(sender, e.getMessage());
                 return;
             }
-            taker.accept(sender, message);
+            handler.accept(sender, message);
         }
 
-        private void skip(Endpoint sender, String why) {
+        private void skip(Endpoint sender, String reason) {
             counters.count(Event.RECORD_SKIPPED);
-            decisions.note(new Decision.RecordSkipped(sender.toString(), "", why));
+            decisions.note(new Decision.RecordSkipped(sender.toString(), "", reason));
         }
 
         @Override
--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerCrashTest.java
@@ -27,27 +27,27 @@
 import org.verbenadyke.node.http1.UpstreamDialect;
 import org.verbenadyke.node.time.LoopTimerService;
 import org.verbenadyke.node.transport.Loops;
-import org.verbenadyke.node.transport.SharedLoops;
+import org.verbenadyke.node.transport.ServiceTalkEventLoops;
 
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutor;
 import io.servicetalk.transport.netty.internal.NettyIoExecutors;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests that a server which ends under its requests is told from one that closes a connection. */
-final class ServerEndTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+/** Tests that a server crash with requests in flight is distinguished from a closed connection. */
+final class ServerCrashTest {
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopAwareNettyIoExecutor io = NettyIoExecutors.createIoExecutor(1, "io");
-    private final Loops loops = SharedLoops.of(io);
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final Loops loops = ServiceTalkEventLoops.of(io);
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final ServerSocket server = listen();
     private final HttpPool pool = HttpPool.to(
             new Endpoint("127.0.0.1", server.getLocalPort()),
             loops,
             LoopTimerService.on(loops.group().next()),
             PoolSettings.standard());
-    private final PooledUpstream pooled = PooledUpstream.over(pool, new Plain());
+    private final PooledUpstream pooled = PooledUpstream.over(pool, new PlainHttpDialect());
     private final HttpUpstream simple = HttpUpstream.to(new Endpoint("127.0.0.1", server.getLocalPort()), io);
 
     @AfterEach
@@ -60,7 +60,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void tellsAnEndWhenNothingListensAnyMore(boolean overPool) throws Exception {
+    void reportsACrashWhenNothingListensAnyMore(boolean overPool) throws Exception {
         UpstreamPort upstream = overPool ? pooled : simple;
         send(upstream);
         send(upstream);
@@ -70,49 +70,49 @@
             reset(first);
             reset(second);
         }
-        assertEquals("ended", next());
-        assertEquals("ended", next());
+        assertEquals("ended", nextEvent());
+        assertEquals("ended", nextEvent());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void tellsABrokenExchangeWhenTheServerStillListens(boolean overPool) throws Exception {
+    void reportsABrokenExchangeWhenTheServerStillListens(boolean overPool) throws Exception {
         send(overPool ? pooled : simple);
         try (Socket connection = accept()) {
             reset(connection);
         }
-        assertEquals("broken", next());
+        assertEquals("broken", nextEvent());
     }
 
     @Test
-    void tellsThatNothingListensWhenAConnectionIsRefused() throws Exception {
-        pool.onAbsent(() -> told.add("absent"));
+    void notifiesTheListenerWhenAConnectionIsRefused() throws Exception {
+        pool.onAbsent(() -> events.add("absent"));
         server.close();
         send(pooled);
-        assertEquals("absent", next());
-        assertEquals("unreachable", next());
+        assertEquals("absent", nextEvent());
+        assertEquals("unreachable", nextEvent());
     }
 
     private void send(UpstreamPort upstream) {
         Message.Content content = new Message.Content("GET", "/p", List.of(), new byte[0]);
         upstream.start(
                 new UpstreamPort.HandOver(content, "t", new RequestId(1, 1), Importance.NORMAL, 1_000_000_000L),
-                new Told());
+                new RecordingListener());
     }
 
-    private String next() throws InterruptedException {
-        return String.valueOf(told.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+    private String nextEvent() throws InterruptedException {
+        return String.valueOf(events.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** Takes a connection and the first byte of its request. */
+    /** Accepts a connection and reads the first byte of its request. */
     private Socket accept() throws IOException {
         Socket connection = server.accept();
-        connection.setSoTimeout(PATIENCE_MILLIS);
+        connection.setSoTimeout(TIMEOUT_MILLIS);
         connection.getInputStream().read();
         return connection;
     }
 
-    /** Closes with unread bytes, which resets, as the end of a process does. */
+    /** Closes a connection with unread bytes, which resets the connection, as the end of a process does. */
     private static void reset(Socket connection) throws IOException {
         connection.setSoLinger(true, 0);
         connection.close();
@@ -121,53 +121,53 @@
     private static ServerSocket listen() {
         try {
             ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            socket.setSoTimeout(PATIENCE_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             return socket;
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Notes how an exchange ends. */
-    private final class Told implements UpstreamPort.Listener {
+    /** Records how an exchange ends. */
+    private final class RecordingListener implements UpstreamPort.Listener {
         @Override
         public void notRun() {
-            told.add("not run");
+            events.add("not run");
         }
 
         @Override
         public void unreachable() {
-            told.add("unreachable");
+            events.add("unreachable");
         }
 
         @Override
         public void head(int status, List<HeaderField> headers) {
-            told.add("head");
+            events.add("head");
         }
 
         @Override
         public void data(byte[] bytes) {
-            told.add("data");
+            events.add("data");
         }
 
         @Override
         public void end() {
-            told.add("end");
+            events.add("end");
         }
 
         @Override
         public void broken() {
-            told.add("broken");
+            events.add("broken");
         }
 
         @Override
         public void upstreamEnded() {
-            told.add("ended");
+            events.add("ended");
         }
     }
 
-    /** Speaks plain HTTP. */
-    private static final class Plain implements UpstreamDialect {
+    /** Maps calls to plain HTTP without any of the header fields of an upstream. */
+    private static final class PlainHttpDialect implements UpstreamDialect {
         @Override
         public HttpRequestMessage request(UpstreamPort.HandOver handOver) {
             Message.Content c = handOver.content();
@@ -191,7 +191,7 @@
 
         @Override
         public void ended(UpstreamPort.HandOver handOver) {
-            // Nothing is kept of it.
+            // No state is kept for a call.
         }
     }
 }
--- a/node/src/test/java/org/verbenadyke/node/http/HttpUpstreamTest.java
+++ b/node/src/test/java/org/verbenadyke/node/http/HttpUpstreamTest.java
@@ -21,9 +21,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests the HTTP way to an upstream. */
+/** Tests {@link HttpUpstream}. */
 final class HttpUpstreamTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopAwareNettyIoExecutor io = NettyIoExecutors.createIoExecutor(1, "io");
     private ServerSocket server;
@@ -31,7 +31,7 @@
     @BeforeEach
     void listen() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(PATIENCE_MILLIS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
     }
 
     @AfterEach
@@ -41,7 +41,7 @@
     }
 
     @RepeatedTest(20)
-    void sendsRequestsThatComeRightAfterItsCreation() throws IOException {
+    void sendsRequestsStartedRightAfterCreation() throws IOException {
         HttpUpstream upstream = HttpUpstream.to(new Endpoint("127.0.0.1", server.getLocalPort()), io);
         send(upstream);
         send(upstream);
@@ -52,7 +52,7 @@
 
     private int firstByteOfNextConnection() throws IOException {
         Socket connection = server.accept();
-        connection.setSoTimeout(PATIENCE_MILLIS);
+        connection.setSoTimeout(TIMEOUT_MILLIS);
         return connection.getInputStream().read();
     }
 
@@ -60,44 +60,44 @@
         Message.Content content = new Message.Content("GET", "/p", List.of(), new byte[0]);
         upstream.start(
                 new UpstreamPort.HandOver(content, "t", new RequestId(1, 1), Importance.NORMAL, 1_000_000_000L),
-                new Unheeded());
+                new IgnoringListener());
     }
 
-    /** Takes no notice of what comes back. */
-    private static final class Unheeded implements UpstreamPort.Listener {
+    /** Ignores all answers; the test checks only what the server receives. */
+    private static final class IgnoringListener implements UpstreamPort.Listener {
         @Override
         public void notRun() {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void unreachable() {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void head(int status, List<HeaderField> headers) {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void data(byte[] bytes) {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void end() {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void broken() {
-            // What the server sees is looked at.
+            // Ignored.
         }
 
         @Override
         public void upstreamEnded() {
-            // What the server sees is looked at.
+            // Ignored.
         }
     }
 }
--- a/node/src/test/java/org/verbenadyke/node/transport/NettyChannelTest.java
+++ b/node/src/test/java/org/verbenadyke/node/transport/NettyChannelTest.java
@@ -21,7 +21,7 @@
 
 /** Tests {@link NettyChannel}. */
 final class NettyChannelTest {
-    private static final long FAR = 30;
+    private static final long TIMEOUT_SECONDS = 30;
 
     @Test
     void keepsOrderBetweenTheLoopAndOtherThreads() throws Exception {
@@ -42,21 +42,21 @@
         channel.write(new Message.Heartbeat(1));
         wroteOutside.countDown();
         List<Long> order = new ArrayList<>();
-        order.add(written.poll(FAR, TimeUnit.SECONDS));
-        order.add(written.poll(FAR, TimeUnit.SECONDS));
+        order.add(written.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        order.add(written.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         assertEquals(List.of(1L, 2L), order);
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            latch.await(FAR, TimeUnit.SECONDS);
+            latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Notes the clocks of the heartbeats written. */
+    /** Records the sender clocks of the written heartbeats. */
     private static final class Recorder extends ChannelOutboundHandlerAdapter {
         private final BlockingQueue<Long> written;
 
--- a/node/src/test/java/org/verbenadyke/node/transport/PacedSelectTest.java
+++ b/node/src/test/java/org/verbenadyke/node/transport/PacedSelectStrategyTest.java
@@ -6,23 +6,23 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests {@link PacedSelect}. */
-final class PacedSelectTest {
+/** Tests {@link PacedSelectStrategy}. */
+final class PacedSelectStrategyTest {
     private static final int READY = 3;
-    private static final int TURNS = 50;
+    private static final int ITERATIONS = 50;
 
-    private final PacedSelect select = PacedSelect.create();
+    private final PacedSelectStrategy select = PacedSelectStrategy.create();
 
     @Test
     void waitsForEventsWhenThereIsNothingToDo() throws Exception {
-        for (int i = 0; i < TURNS; i++) {
+        for (int i = 0; i < ITERATIONS; i++) {
             assertEquals(SelectStrategy.SELECT, select.calculateStrategy(() -> READY, false));
         }
     }
 
     @Test
-    void looksForEventsWithoutWaitingWhenTasksAreAtHand() throws Exception {
-        for (int i = 0; i < TURNS; i++) {
+    void pollsForEventsWithoutWaitingWhenTasksArePending() throws Exception {
+        for (int i = 0; i < ITERATIONS; i++) {
             assertEquals(READY, select.calculateStrategy(() -> READY, true));
         }
     }
--- a/node/src/test/java/org/verbenadyke/node/transport/TakenPortTest.java
+++ b/node/src/test/java/org/verbenadyke/node/transport/PortInUseTest.java
@@ -19,13 +19,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests that a node doesn't start on a port that another process has.
+ * Tests that a node doesn't start on a port that another process uses.
  *
- * <p>Whether a port was bound was read from the channel, which is closed on another thread after a failure: of 2,000
- * servers on a taken port, 1,058 were said to listen. A node then seemed to run and got nothing.
+ * <p>Guards against reading the outcome of a bind from the channel, which another thread closes after a failure: of
+ * 2,000 servers on a port in use, 1,058 then passed for listening. Such a node seemed to run but received nothing.
  */
-final class TakenPortTest {
-    private static final int TRIES = 200;
+final class PortInUseTest {
+    private static final int ATTEMPTS = 200;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     private final Loops loops = Loops.nio(1);
@@ -36,16 +36,16 @@
     }
 
     @Test
-    void noHttpServerListensThere() throws IOException {
+    void httpServerDoesNotStart() throws IOException {
         LoopTimerService timers = LoopTimerService.on(loops.group().next());
         ServerLimits limits = new ServerLimits(8_192, 8_192, 1_000_000_000L);
-        try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
-            Endpoint at = new Endpoint("127.0.0.1", taken.getLocalPort());
-            for (int i = 0; i < TRIES; i++) {
+        try (ServerSocket occupied = new ServerSocket(0, 1, LOOPBACK)) {
+            Endpoint endpoint = new Endpoint("127.0.0.1", occupied.getLocalPort());
+            for (int i = 0; i < ATTEMPTS; i++) {
                 assertThrows(
                         VerbenadykeException.class,
                         () -> HttpServer.listen(
-                                at,
+                                endpoint,
                                 loops,
                                 timers,
                                 () -> limits,
@@ -55,24 +55,24 @@
     }
 
     @Test
-    void noNodeListensThere() throws IOException {
+    void transportDoesNotListen() throws IOException {
         NettyTransport transport = NettyTransport.on(loops, Counters.create());
-        try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
-            Endpoint at = new Endpoint("127.0.0.1", taken.getLocalPort());
-            for (int i = 0; i < TRIES; i++) {
-                assertThrows(VerbenadykeException.class, () -> transport.listen(at, () -> null));
+        try (ServerSocket occupied = new ServerSocket(0, 1, LOOPBACK)) {
+            Endpoint endpoint = new Endpoint("127.0.0.1", occupied.getLocalPort());
+            for (int i = 0; i < ATTEMPTS; i++) {
+                assertThrows(VerbenadykeException.class, () -> transport.listen(endpoint, () -> null));
             }
         }
     }
 
     @Test
-    void noDatagramsAreHeardThere() throws IOException {
-        try (DatagramSocket taken = new DatagramSocket(0, LOOPBACK)) {
-            Endpoint at = new Endpoint("127.0.0.1", taken.getLocalPort());
-            for (int i = 0; i < TRIES; i++) {
+    void datagramPortDoesNotListen() throws IOException {
+        try (DatagramSocket occupied = new DatagramSocket(0, LOOPBACK)) {
+            Endpoint endpoint = new Endpoint("127.0.0.1", occupied.getLocalPort());
+            for (int i = 0; i < ATTEMPTS; i++) {
                 assertThrows(
                         VerbenadykeException.class,
-                        () -> UdpPort.listen(at, loops, Counters.create(), DecisionLog.none(), (from, m) -> {}));
+                        () -> UdpPort.listen(endpoint, loops, Counters.create(), DecisionLog.none(), (from, m) -> {}));
             }
         }
     }
