--- a/node/src/main/java/org/verbenadyke/node/NodeMain.java
+++ b/node/src/main/java/org/verbenadyke/node/NodeMain.java
@@ -14,15 +14,15 @@
 import picocli.CommandLine;
 
 /**
- * The daemon's command line.
+ * The command line of the daemon.
  */
 @CommandLine.Command(
         name = "verbenadyked",
         mixinStandardHelpOptions = true,
         version = "verbenadyked 0.1.0",
-        description = "Runs one node beside an upstream.",
+        description = "Runs one node colocated with an upstream.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:stopped as asked", "1:failed while running", "2:the settings can't be used"})
+        exitCodeList = {"0:stopped on request", "1:failed while running", "2:the settings can't be used"})
 public final class NodeMain implements Callable<Integer> {
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_SETTINGS = 2;
@@ -32,7 +32,7 @@
     @CommandLine.Parameters(paramLabel = "FILE", description = "The settings file (INI).")
     private Path file;
 
-    @CommandLine.Option(names = "--check", description = "Only check the settings and say what is wrong.")
+    @CommandLine.Option(names = "--check", description = "Only check the settings and report all problems.")
     private boolean check;
 
     @CommandLine.Option(
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -28,7 +28,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Plans and confirms changes of the configuration for the operators.
+ * Plans and confirms configuration changes on behalf of operators.
  */
 final class ConfigurationService {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -49,7 +49,7 @@
                             UUID.randomUUID().toString(),
                             core.engine().configuration(),
                             PlanJson.intents(PlanJson.parse(body)),
-                            services()))
+                            serviceViews()))
                     .toString();
         } catch (PlanProblems e) {
             ObjectNode node = JSON.createObjectNode();
@@ -59,7 +59,7 @@
         }
     }
 
-    void undo(long version, Consumer<String> taker) {
+    void undo(long version, Consumer<String> callback) {
         core.config().version(version - 1, earlier -> {
             if (earlier.isEmpty()) {
                 ObjectNode node = JSON.createObjectNode();
@@ -68,16 +68,16 @@
                                 ErrorCode.PLAN_UNKNOWN,
                                 "undo " + version,
                                 "version " + (version - 1) + " is not known to this node any more"));
-                taker.accept(node.toString());
+                callback.accept(node.toString());
                 return;
             }
             String id = UUID.randomUUID().toString();
-            taker.accept(PlanJson.of(Planner.undo(id, core.engine().configuration(), earlier.get(), services()))
+            callback.accept(PlanJson.of(Planner.undo(id, core.engine().configuration(), earlier.get(), serviceViews()))
                     .toString());
         });
     }
 
-    void confirm(String body, Consumer<String> taker) {
+    void confirm(String body, Consumer<String> callback) {
         JsonNode plan = PlanJson.parse(body);
         Configuration next = PlanJson.configuration(plan.path("next"));
         ConfigEntry.Change change = new ConfigEntry.Change(
@@ -88,19 +88,19 @@
                 next.leaving(),
                 plan.path("author").asText(),
                 System.currentTimeMillis());
-        core.config().confirm(change, outcome -> taker.accept(words(change, outcome)));
+        core.config().confirm(change, outcome -> callback.accept(outcomeJson(change, outcome)));
     }
 
-    void show(long version, Consumer<String> taker) {
+    void show(long version, Consumer<String> callback) {
         Configuration inForce = core.engine().configuration();
         if (version < 0 || version == inForce.version()) {
-            taker.accept(PlanJson.of(inForce).toString());
+            callback.accept(PlanJson.of(inForce).toString());
             return;
         }
         core.config()
                 .version(
                         version,
-                        found -> taker.accept(
+                        found -> callback.accept(
                                 found.map(c -> PlanJson.of(c).toString()).orElse("{}")));
     }
 
@@ -118,7 +118,7 @@
         return node.toString();
     }
 
-    private static String words(ConfigEntry.Change change, Confirmed outcome) {
+    private static String outcomeJson(ConfigEntry.Change change, Confirmed outcome) {
         ObjectNode node = JSON.createObjectNode();
         node.put("id", change.id());
         switch (outcome) {
@@ -141,7 +141,7 @@
         return node.toString();
     }
 
-    private List<ServiceView> services() {
+    private List<ServiceView> serviceViews() {
         Map<String, List<MemberRecord>> byService = core.members().present().stream()
                 .filter(r -> !r.service().isEmpty())
                 .collect(Collectors.groupingBy(MemberRecord::service));
@@ -152,11 +152,11 @@
                         .map(r -> new ServiceView.Member(
                                 r.nodeId(), r.place().dataCentre(), r.state().accepting()))
                         .toList(),
-                load(service))));
+                averageLoad(service))));
         return views;
     }
 
-    private OptionalDouble load(String service) {
+    private OptionalDouble averageLoad(String service) {
         return core.engine().router().candidates().stream()
                 .filter(c -> c.upstream().service().equals(service))
                 .map(Candidate::reportedLoad)
--- a/node/src/main/java/org/verbenadyke/node/control/ControlService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ControlService.java
@@ -21,7 +21,7 @@
 import io.servicetalk.http.api.StreamingHttpService;
 
 /**
- * Serves the operators: status, metrics, plans and confirmations.
+ * The HTTP API for operators: status, metrics, plans and confirmations.
  */
 public final class ControlService implements StreamingHttpService {
     private static final String JSON = "application/json";
@@ -56,17 +56,21 @@
     public Single<StreamingHttpResponse> handle(
             HttpServiceContext context, StreamingHttpRequest request, StreamingHttpResponseFactory responses) {
         return switch (request.path()) {
-            case "/status" -> Single.succeeded(text(context, responses, JSON, status.json()));
-            case "/metrics" -> Single.succeeded(text(context, responses, TEXT, metrics.text()));
-            case "/history" -> Single.succeeded(text(context, responses, JSON, configuration.history()));
+            case "/status" -> Single.succeeded(respond(context, responses, JSON, status.json()));
+            case "/metrics" -> Single.succeeded(respond(context, responses, TEXT, metrics.text()));
+            case "/history" -> Single.succeeded(respond(context, responses, JSON, configuration.history()));
             case "/show" ->
-                later(context, responses, taker -> configuration.show(number(request, "version", -1), taker));
+                respondWhenDone(
+                        context, responses, callback -> configuration.show(number(request, "version", -1), callback));
             case "/undo" ->
-                later(context, responses, taker -> configuration.undo(number(request, "version", 0), taker));
+                respondWhenDone(
+                        context, responses, callback -> configuration.undo(number(request, "version", 0), callback));
             case "/plan" ->
-                body(request).flatMap(b -> Single.succeeded(text(context, responses, JSON, configuration.plan(b))));
+                body(request).flatMap(b -> Single.succeeded(respond(context, responses, JSON, configuration.plan(b))));
             case "/confirm" ->
-                body(request).flatMap(b -> later(context, responses, taker -> configuration.confirm(b, taker)));
+                body(request)
+                        .flatMap(b ->
+                                respondWhenDone(context, responses, callback -> configuration.confirm(b, callback)));
             default -> Single.succeeded(responses.notFound());
         };
     }
@@ -75,21 +79,21 @@
         return request.toRequest().map(r -> r.payloadBody().toString(StandardCharsets.UTF_8));
     }
 
-    private static long number(StreamingHttpRequest request, String name, long otherwise) {
+    private static long number(StreamingHttpRequest request, String name, long defaultValue) {
         return Optional.ofNullable(request.queryParameter(name))
                 .filter(v -> v.matches("[0-9]{1,18}"))
                 .map(Long::parseLong)
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
-    private static Single<StreamingHttpResponse> later(
+    private static Single<StreamingHttpResponse> respondWhenDone(
             HttpServiceContext context, StreamingHttpResponseFactory responses, Consumer<Consumer<String>> work) {
         SingleSource.Processor<String, String> result = Processors.newSingleProcessor();
         work.accept(result::onSuccess);
-        return SourceAdapters.fromSource(result).map(r -> text(context, responses, JSON, r));
+        return SourceAdapters.fromSource(result).map(r -> respond(context, responses, JSON, r));
     }
 
-    private static StreamingHttpResponse text(
+    private static StreamingHttpResponse respond(
             HttpServiceContext context, StreamingHttpResponseFactory responses, String type, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         return responses
--- a/node/src/main/java/org/verbenadyke/node/control/LocalService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/LocalService.java
@@ -22,13 +22,14 @@
 import io.servicetalk.transport.api.IoExecutor;
 
 /**
- * Serves the upstream beside the node: its announcement, its drain and its calls to other services.
+ * The HTTP API for the upstream that the node is colocated with: its registration, its drain and its calls to other
+ * services.
  */
 public final class LocalService implements StreamingHttpService {
-    /** Where the upstream announces itself: PUT with service and address. */
+    /** The path at which the upstream registers itself: PUT with service and address. */
     public static final String UPSTREAM_PATH = "/.verbenadyke/upstream";
 
-    /** Where the upstream says that it is leaving: POST; the answer tells how many calls it still has. */
+    /** The path at which the upstream starts to drain: POST; the answer contains its number of unfinished calls. */
     public static final String DRAIN_PATH = "/.verbenadyke/upstream/drain";
 
     private static final Logger LOG = LogManager.getLogger("upstream");
@@ -47,8 +48,8 @@
     /**
      * Creates the service.
      *
-     * @param calls takes the upstream's calls to other services
-     * @param core makes the upstream known
+     * @param calls handles the upstream's calls to other services
+     * @param core announces the upstream to other nodes
      * @param executor the threads that serve connections
      * @return the service
      */
--- a/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
+++ b/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
@@ -22,7 +22,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Words intents, plans and configurations as JSON between the command-line tool and the nodes.
+ * Converts intents, plans and configurations to and from the JSON that the command-line tool and the nodes exchange.
  */
 public final class PlanJson {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,9 +30,9 @@
     private PlanJson() {}
 
     /**
-     * Parses text.
+     * Parses JSON.
      *
-     * @param text JSON
+     * @param text the JSON
      * @return the parsed node
      * @throws VerbenadykeException with {@link ErrorCode#PLAN_UNKNOWN}
      */
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Words intents.
+     * Converts intents to JSON.
      *
      * @param intents the intents
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(Intents intents) {
         ObjectNode node = JSON.createObjectNode();
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Reads intents.
+     * Reads intents from JSON.
      *
-     * @param node JSON
+     * @param node the JSON
      * @return the intents
      */
     public static Intents intents(JsonNode node) {
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Words a plan.
+     * Converts a plan to JSON.
      *
      * @param plan the plan
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(Plan plan) {
         ObjectNode node = JSON.createObjectNode();
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Words a configuration.
+     * Converts a configuration to JSON.
      *
      * @param configuration the configuration
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(Configuration configuration) {
         ObjectNode node = JSON.createObjectNode();
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Reads a configuration.
+     * Reads a configuration from JSON.
      *
-     * @param node JSON
+     * @param node the JSON
      * @return the configuration
      */
     public static Configuration configuration(JsonNode node) {
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -19,7 +19,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Reports a node's state as JSON.
+ * Renders a node's state as JSON.
  */
 final class StatusReport {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/node/src/main/java/org/verbenadyke/node/metrics/Latencies.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/Latencies.java
@@ -6,21 +6,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long requests took, from when they were read to when their answer was complete. Safe for many threads.
+ * A histogram of request latencies, from when a request was read to when its answer was complete. Thread-safe.
  */
 public final class Latencies {
-    /** The longest latency told apart, in microseconds: no request is kept longer than a minute. */
-    private static final long MOST_MICROS = 60_000_000L;
+    /** The highest trackable latency, in microseconds: no request is kept longer than a minute. */
+    private static final long MAX_MICROS = 60_000_000L;
 
-    /** Significant digits: one in a hundred is enough to see a change, and keeps the histogram at some kilobytes. */
-    private static final int DIGITS = 2;
+    /** The precision: one percent is enough to see a change, and keeps the histogram at some kilobytes. */
+    private static final int SIGNIFICANT_DIGITS = 2;
 
-    private final Histogram histogram = new ConcurrentHistogram(MOST_MICROS, DIGITS);
+    private final Histogram histogram = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
     private Latencies() {}
 
     /**
-     * Creates a histogram without values.
+     * Creates an empty histogram.
      *
      * @return the histogram
      */
@@ -29,16 +29,16 @@
     }
 
     /**
-     * Records one request.
+     * Records the latency of one request.
      *
-     * @param nanos how long it took, in nanoseconds
+     * @param nanos the latency, in nanoseconds
      */
     public void record(long nanos) {
-        histogram.recordValue(Math.min(MOST_MICROS, TimeUnit.NANOSECONDS.toMicros(Math.max(0, nanos))));
+        histogram.recordValue(Math.min(MAX_MICROS, TimeUnit.NANOSECONDS.toMicros(Math.max(0, nanos))));
     }
 
     /**
-     * Returns how many were recorded.
+     * Returns the number of recorded requests.
      *
      * @return the number
      */
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Returns a percentile.
+     * Returns a percentile of the latencies.
      *
-     * @param percent which, from 0 to 100
-     * @return microseconds
+     * @param percent the percentile, from 0 to 100
+     * @return the latency in microseconds
      */
     public long micros(double percent) {
         return histogram.getValueAtPercentile(percent);
--- a/node/src/main/java/org/verbenadyke/node/metrics/MetricsHandler.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/MetricsHandler.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.node.http1.HttpHandler;
 
 /**
- * Serves the metrics as text.
+ * Serves the metrics in the Prometheus text format.
  */
 public final class MetricsHandler implements HttpHandler {
     private static final int OK = 200;
--- a/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
@@ -16,7 +16,7 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * Words the node's metrics in the usual text exposition, out of a Dropwizard registry.
+ * Renders the node's metrics, held in a Dropwizard registry, in the Prometheus text format.
  */
 public final class MetricsText {
     private static final String PREFIX = "verbenadyke_";
@@ -30,8 +30,8 @@
     /**
      * Creates the metrics of a node.
      *
-     * @param core the node's decisions
-     * @param counters what it counted
+     * @param core the node's decision logic
+     * @param counters the node's counters
      * @return the metrics
      */
     public static MetricsText of(NodeCore core, Counters counters) {
@@ -49,10 +49,10 @@
                         () -> counters.refusals(s, r));
             }
         }
-        text.gauge("upstream_in_flight", () -> ofGate(core, Gate::inFlight));
-        text.gauge("upstream_queued", () -> ofGate(core, Gate::queued));
-        text.gauge("upstream_limit", () -> ofGate(core, Gate::limit));
-        text.gauge("upstream_level", () -> ofGate(core, Gate::level));
+        text.gauge("upstream_in_flight", () -> gateValue(core, Gate::inFlight));
+        text.gauge("upstream_queued", () -> gateValue(core, Gate::queued));
+        text.gauge("upstream_limit", () -> gateValue(core, Gate::limit));
+        text.gauge("upstream_level", () -> gateValue(core, Gate::level));
         text.gauge("configuration_version", () -> core.engine().configuration().version());
         text.gauge("links", () -> core.engine().links().size());
         text.gauge("members_present", () -> core.members().present().size());
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Adds the latencies of requests.
+     * Adds the metrics of request latencies.
      *
      * @param latencies the latencies
      * @return these metrics
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Words the metrics.
+     * Renders the metrics.
      *
      * @return the text
      */
@@ -95,7 +95,7 @@
         registry.register(name, value);
     }
 
-    private static int ofGate(NodeCore core, ToIntFunction<Gate> value) {
+    private static int gateValue(NodeCore core, ToIntFunction<Gate> value) {
         return core.engine()
                 .server()
                 .upstream()
--- a/node/src/main/java/org/verbenadyke/node/settings/IniReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/IniReader.java
@@ -19,10 +19,10 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * Reads an INI file and collects everything that is wrong with it, each problem with file, section and key.
+ * Reads an INI file and collects all problems found in the file, each with file, section and key.
  */
 public final class IniReader {
-    private static final int PORT_MOST = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private final String file;
     private final INIConfiguration ini;
@@ -51,18 +51,18 @@
     }
 
     /**
-     * Returns the sections.
+     * Returns the names of the sections.
      *
-     * @return their names
+     * @return the names
      */
     public Set<String> sections() {
         return ini.getSections();
     }
 
     /**
-     * Notes sections that must be there or are not known.
+     * Adds a problem for each required section that is missing and each section that is unknown.
      *
-     * @param required the sections that must be there
+     * @param required the required sections
      * @param known all known sections
      */
     public void checkSections(Set<String> required, Set<String> known) {
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Notes keys that are not known in a section.
+     * Adds a problem for each unknown key of a section.
      *
      * @param section the section
-     * @param known the keys that are
+     * @param known the known keys
      */
     public void checkKeys(String section, Set<String> known) {
         if (!ini.getSections().contains(section)) {
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Reads a text.
+     * Reads an optional text.
      *
      * @param section the section
      * @param key the key
-     * @return the value, if it is there and not empty
+     * @return the value, if present and not blank
      */
     public Optional<String> text(String section, String key) {
         SubnodeConfiguration s = ini.getSection(section);
@@ -109,11 +109,11 @@
     }
 
     /**
-     * Reads a text that must be there.
+     * Reads a required text.
      *
      * @param section the section
      * @param key the key
-     * @return the value; empty after a problem was noted
+     * @return the value; empty if the key is missing
      */
     public String needed(String section, String key) {
         Optional<String> value = text(section, key);
@@ -128,17 +128,17 @@
      *
      * @param section the section
      * @param key the key
-     * @param what what the value must be, for the message
-     * @param convert converts it, throwing {@link IllegalArgumentException} when it can't
+     * @param expectation what the value must be, for the message
+     * @param convert converts the text; throws {@link IllegalArgumentException} if the text is invalid
      * @param <T> the type of the value
-     * @return the value, empty when it isn't there or a problem was noted
+     * @return the value, empty if the key is missing or the value is invalid
      */
-    public <T> Optional<T> value(String section, String key, String what, Function<String, T> convert) {
+    public <T> Optional<T> value(String section, String key, String expectation, Function<String, T> convert) {
         Optional<String> text = text(section, key);
         try {
             return text.map(convert);
         } catch (IllegalArgumentException e) {
-            problem(ErrorCode.SETTINGS_BAD_VALUE, section, key, text.orElse(""), "must be " + what);
+            problem(ErrorCode.SETTINGS_BAD_VALUE, section, key, text.orElse(""), "must be " + expectation);
             return Optional.empty();
         }
     }
@@ -148,38 +148,38 @@
      *
      * @param section the section
      * @param key the key
-     * @param least the least value
-     * @param most the most
-     * @param otherwise the value when none is set
+     * @param min the minimum
+     * @param max the maximum
+     * @param defaultValue the value to return if none is set
      * @return the value
      */
-    public long number(String section, String key, long least, long most, long otherwise) {
-        String what = "a whole number from " + least + " to " + most;
-        return value(section, key, what, v -> {
+    public long number(String section, String key, long min, long max, long defaultValue) {
+        String expectation = "a whole number from " + min + " to " + max;
+        return value(section, key, expectation, v -> {
                     long n = Long.parseLong(v);
-                    if (n < least || n > most) {
+                    if (n < min || n > max) {
                         throw new IllegalArgumentException(v);
                     }
                     return n;
                 })
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
     /**
-     * Reads a yes or no.
+     * Reads a boolean.
      *
      * @param section the section
      * @param key the key
-     * @param otherwise the value when none is set
+     * @param defaultValue the value to return if none is set
      * @return the value
      */
-    public boolean flag(String section, String key, boolean otherwise) {
+    public boolean flag(String section, String key, boolean defaultValue) {
         return value(section, key, "true or false", v -> switch (v) {
                     case "true" -> true;
                     case "false" -> false;
                     default -> throw new IllegalArgumentException(v);
                 })
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
     /**
@@ -187,7 +187,7 @@
      *
      * @param section the section
      * @param key the key
-     * @return the address, empty when it isn't there or a problem was noted
+     * @return the address, empty if the key is missing or the value is invalid
      */
     public Optional<Endpoint> endpoint(String section, String key) {
         return value(section, key, "IP:PORT", IniReader::parseEndpoint);
@@ -196,7 +196,7 @@
     /**
      * Parses an address.
      *
-     * @param text IP number and port with a colon between
+     * @param text IP address and port, separated by a colon
      * @return the address
      */
     public static Endpoint parseEndpoint(String text) {
@@ -205,17 +205,17 @@
             throw new IllegalArgumentException(text);
         }
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 1 || port > PORT_MOST) {
+        if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException(text);
         }
         return new Endpoint(text.substring(0, colon), port);
     }
 
     /**
-     * Notes a problem.
+     * Adds a problem.
      *
-     * @param code the kind
-     * @param details section, key and what else the message names
+     * @param code the kind of problem
+     * @param details the section, the key and the other arguments of the message
      */
     public void problem(ErrorCode code, String... details) {
         Object[] arguments = new Object[details.length + 1];
@@ -225,9 +225,9 @@
     }
 
     /**
-     * Returns what is wrong.
+     * Returns the problems found so far.
      *
-     * @return the problems in the order they were found
+     * @return the problems in the order in which they were found
      */
     public List<String> problems() {
         return List.copyOf(problems);
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
@@ -8,20 +8,20 @@
 import org.verbenadyke.kernel.routing.Place;
 
 /**
- * The settings of one node, checked.
+ * The validated settings of one node.
  *
  * @param id the node's name
- * @param place where it stands
- * @param peers where it listens for other nodes
- * @param entry where it listens for callers
- * @param local where it listens for the upstream beside it
- * @param control where it listens for operators
- * @param logs the addresses of the log service
- * @param seeds nodes to ask for news at the start
- * @param policy how it decides
+ * @param place the node's region and data centre
+ * @param peers the address to listen on for other nodes
+ * @param entry the address to listen on for callers
+ * @param local the address to listen on for the upstream that the node is colocated with
+ * @param control the address to listen on for operators
+ * @param logs the address of the log service
+ * @param seeds the addresses of nodes to contact first, to learn the other members
+ * @param policy the parameters of the node's decisions
  * @param jsonLogs whether log lines are written as JSON
- * @param ledger whether the promises are checked at run time
- * @param ioThreads how many threads serve connections
+ * @param ledger whether the invariants are checked at run time
+ * @param ioThreads the number of threads that serve connections
  */
 public record NodeSettings(
         String id,
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -17,10 +17,10 @@
 import org.verbenadyke.kernel.routing.Place;
 
 /**
- * Reads the settings of a node. Every key is described in docs/SETTINGS.md.
+ * Reads and validates the settings of a node. docs/SETTINGS.md describes every key.
  */
 public final class NodeSettingsReader {
-    /** The sections and the keys known in each. */
+    /** The known sections with their known keys. */
     public static final Map<String, Set<String>> KEYS = Map.of(
             "node", Set.of("id", "region", "data-centre", "io-threads", "ledger"),
             "listen", Set.of("peers", "entry", "local", "control"),
@@ -41,31 +41,31 @@
                             "retry-after-ms"),
             "logging", Set.of("format"));
 
-    private static final Set<String> REQUIRED = Set.of("node", "listen");
+    private static final Set<String> REQUIRED_SECTIONS = Set.of("node", "listen");
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long TTL_MOST_MILLIS = 30_000;
-    private static final long RETENTION_MOST_SECONDS = 86_400;
-    private static final int LIMIT_MOST = 1_000_000;
-    private static final int SUBSET_MOST = 10_000;
-    private static final int THREADS_MOST = 64;
-    private static final int DEFAULT_THREADS = 1;
-    private static final long RETRY_AFTER_MOST_MILLIS = 600_000;
+    private static final long MAX_TTL_MILLIS = 30_000;
+    private static final long MAX_RETENTION_SECONDS = 86_400;
+    private static final int MAX_LIMIT = 1_000_000;
+    private static final int MAX_SUBSET_SIZE = 10_000;
+    private static final int MAX_IO_THREADS = 64;
+    private static final int DEFAULT_IO_THREADS = 1;
+    private static final long MAX_RETRY_AFTER_MILLIS = 600_000;
     private static final double PERCENT = 100.0;
-    private static final Endpoint UNSET = new Endpoint("127.0.0.1", 1);
+    private static final Endpoint PLACEHOLDER_ENDPOINT = new Endpoint("127.0.0.1", 1);
 
     private NodeSettingsReader() {}
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
      * @param path the file
      * @return the settings
-     * @throws SettingsProblems with everything that is wrong
+     * @throws SettingsProblems with all problems of the file
      */
     public static NodeSettings read(Path path) {
         IniReader ini = IniReader.open(path);
-        ini.checkSections(REQUIRED, KEYS.keySet());
+        ini.checkSections(REQUIRED_SECTIONS, KEYS.keySet());
         KEYS.forEach(ini::checkKeys);
         NodeSettings settings = new NodeSettings(
                 ini.needed("node", "id"),
@@ -79,7 +79,7 @@
                 policy(ini),
                 format(ini),
                 ini.flag("node", "ledger", true),
-                (int) ini.number("node", "io-threads", 1, THREADS_MOST, DEFAULT_THREADS));
+                (int) ini.number("node", "io-threads", 1, MAX_IO_THREADS, DEFAULT_IO_THREADS));
         if (!ini.problems().isEmpty()) {
             throw SettingsProblems.of(ini.problems());
         }
@@ -88,7 +88,7 @@
 
     private static Endpoint listen(IniReader ini, String key) {
         ini.needed("listen", key);
-        return ini.endpoint("listen", key).orElse(UNSET);
+        return ini.endpoint("listen", key).orElse(PLACEHOLDER_ENDPOINT);
     }
 
     private static List<Endpoint> seeds(IniReader ini) {
@@ -114,20 +114,21 @@
         Policy base = preset(ini);
         LimitSettings l = base.limits();
         LimitSettings limits = new LimitSettings(
-                (int) ini.number("policy", "limit-initial", 1, LIMIT_MOST, l.initial()),
-                (int) ini.number("policy", "limit-least", 1, LIMIT_MOST, l.minimum()),
-                (int) ini.number("policy", "limit-most", 1, LIMIT_MOST, l.maximum()));
+                (int) ini.number("policy", "limit-initial", 1, MAX_LIMIT, l.initial()),
+                (int) ini.number("policy", "limit-least", 1, MAX_LIMIT, l.minimum()),
+                (int) ini.number("policy", "limit-most", 1, MAX_LIMIT, l.maximum()));
         DispatchSettings d = base.dispatch();
         long percent = ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.ratio() * PERCENT));
-        long after = ini.number("policy", "retry-after-ms", 0, RETRY_AFTER_MOST_MILLIS, d.retryAfterMillis());
+        long after = ini.number("policy", "retry-after-ms", 0, MAX_RETRY_AFTER_MILLIS, d.retryAfterMillis());
         GateSettings gate = base.gate();
         return new Policy(
                 choice(ini, "chooser", base.chooser(), PlugIns.choosers()),
                 choice(ini, "limit", base.limit(), PlugIns.limits()),
-                (int) ini.number("policy", "subset-size", 1, SUBSET_MOST, Math.min(SUBSET_MOST, base.subsetSize())),
+                (int) ini.number(
+                        "policy", "subset-size", 1, MAX_SUBSET_SIZE, Math.min(MAX_SUBSET_SIZE, base.subsetSize())),
                 base.perHopRetries(),
-                millis(ini, "default-ttl-ms", TTL_MOST_MILLIS, base.defaultTtlNanos()),
-                ini.number("policy", "key-retention-s", 1, RETENTION_MOST_SECONDS, seconds(base.keyRetentionNanos()))
+                millis(ini, "default-ttl-ms", MAX_TTL_MILLIS, base.defaultTtlNanos()),
+                ini.number("policy", "key-retention-s", 1, MAX_RETENTION_SECONDS, seconds(base.keyRetentionNanos()))
                         * NANOS_PER_SECOND,
                 gate,
                 limits,
@@ -150,18 +151,18 @@
         };
     }
 
-    private static String choice(IniReader ini, String key, String otherwise, Set<String> known) {
+    private static String choice(IniReader ini, String key, String defaultValue, Set<String> known) {
         Optional<String> value = ini.text("policy", key);
         if (value.isPresent() && !known.contains(value.get())) {
-            String what = "must be one of " + known.stream().sorted().toList();
-            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), what);
-            return otherwise;
+            String expectation = "must be one of " + known.stream().sorted().toList();
+            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), expectation);
+            return defaultValue;
         }
-        return value.orElse(otherwise);
+        return value.orElse(defaultValue);
     }
 
-    private static long millis(IniReader ini, String key, long most, long otherwiseNanos) {
-        return ini.number("policy", key, 1, most, otherwiseNanos / NANOS_PER_MILLI) * NANOS_PER_MILLI;
+    private static long millis(IniReader ini, String key, long max, long defaultNanos) {
+        return ini.number("policy", key, 1, max, defaultNanos / NANOS_PER_MILLI) * NANOS_PER_MILLI;
     }
 
     private static long seconds(long nanos) {
--- a/node/src/main/java/org/verbenadyke/node/settings/SettingsProblems.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/SettingsProblems.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Thrown when a settings file can't be used; carries every problem found in it.
+ * Thrown when a settings file is invalid; lists every problem found in the file.
  */
 public final class SettingsProblems extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -18,7 +18,7 @@
     /**
      * Creates the exception.
      *
-     * @param problems each with its code, file, section, key and remedy
+     * @param problems the problems, each with its code, file, section, key and remedy
      * @return the exception, to be thrown
      */
     public static SettingsProblems of(List<String> problems) {
@@ -28,7 +28,7 @@
     /**
      * Returns the problems.
      *
-     * @return one text each
+     * @return the messages, one for each problem
      */
     public List<String> problems() {
         return problems;
--- a/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
@@ -9,22 +9,22 @@
 import org.verbenadyke.kernel.trace.LineBudget;
 
 /**
- * Writes decisions as structured log lines, a bounded number of each kind a second.
+ * Logs decisions as structured lines, with a bounded number of lines of each kind per second.
  */
 public final class DecisionLogger implements DecisionLog {
     /** The field that names the kind of decision. */
     public static final String EVENT = "event";
 
-    /** The field with a request's id as its caller names it. */
+    /** The field with the request id that the caller assigned. */
     public static final String REQUEST = "request";
 
-    /** The field with a request's id as nodes name it. */
+    /** The field with the request id that nodes use along the call chain. */
     public static final String CHAIN = "chain";
 
-    /** The field with an attempt's id; it joins the lines of the node that sent it and the node that took it. */
+    /** The field with an attempt's id, which correlates the lines of the sending node and the receiving node. */
     public static final String ATTEMPT = "attempt";
 
-    /** The field that names what a request asks for, the same for every try and repeat of it. */
+    /** The field with the digest of a request's content, which is the same for every attempt and repetition. */
     public static final String DIGEST = "digest";
 
     private static final String ROUTE = "route";
@@ -32,44 +32,49 @@
     private static final String EVIDENCE = "evidence";
     private static final Logger LOG = LogManager.getLogger("decision");
 
-    /** Lines of each kind in a second: a few hundred bytes each, some kilobytes a second under the worst load. */
-    private static final int LINES_MOST = 5;
+    /**
+     * The maximum number of lines of each kind per second: at a few hundred bytes each, some kilobytes per second under
+     * the worst load.
+     */
+    private static final int MAX_LINES_PER_SECOND = 5;
 
     /**
-     * Lines in a second on what upstreams had when they ended: all that one of some hundred places has at a common
-     * load, about 20 KB. The call that ended it may be any of them.
+     * The maximum number of lines per second on requests in flight at the crash of an upstream: all requests that an
+     * upstream with some hundred slots has in flight at a common load, about 20 KB. Any of the requests may have caused
+     * the crash.
      */
-    private static final int ENDED_LINES_MOST = 64;
+    private static final int MAX_CRASH_LINES_PER_SECOND = 64;
 
-    private static final int FIELDS = 10;
+    private static final int INITIAL_FIELD_CAPACITY = 10;
 
-    private final LineBudget budget;
-    private final LineBudget endedBudget;
+    private final LineBudget lineBudget;
+    private final LineBudget crashLineBudget;
 
     private DecisionLogger(LineBudget budget, LineBudget endedBudget) {
-        this.budget = budget;
-        this.endedBudget = endedBudget;
+        this.lineBudget = budget;
+        this.crashLineBudget = endedBudget;
     }
 
     /**
      * Creates a logger.
      *
-     * @param timers the time
+     * @param timers the clock and the timers
      * @return the logger
      */
     public static DecisionLogger on(TimerService timers) {
-        return new DecisionLogger(LineBudget.of(timers, LINES_MOST), LineBudget.of(timers, ENDED_LINES_MOST));
+        return new DecisionLogger(
+                LineBudget.of(timers, MAX_LINES_PER_SECOND), LineBudget.of(timers, MAX_CRASH_LINES_PER_SECOND));
     }
 
     @Override
     public void note(Decision decision) {
         String kind = kind(decision);
-        int leftOut = (decision instanceof Decision.EndedUnder ? endedBudget : budget).take(kind);
+        int leftOut = (decision instanceof Decision.EndedUnder ? crashLineBudget : lineBudget).take(kind);
         if (leftOut < 0) {
             return;
         }
-        StringMapMessage line = new StringMapMessage(FIELDS).with(EVENT, kind);
-        fill(line, decision);
+        StringMapMessage line = new StringMapMessage(INITIAL_FIELD_CAPACITY).with(EVENT, kind);
+        addFields(line, decision);
         if (leftOut > 0) {
             line.with("leftOut", leftOut);
         }
@@ -95,11 +100,11 @@
         };
     }
 
-    private static void fill(StringMapMessage line, Decision decision) {
+    private static void addFields(StringMapMessage line, Decision decision) {
         switch (decision) {
-            case Decision.Refused d -> fill(line, d);
-            case Decision.Unidentified d -> fill(line, d);
-            case Decision.Failed d -> fill(line, d);
+            case Decision.Refused d -> addFields(line, d);
+            case Decision.Unidentified d -> addFields(line, d);
+            case Decision.Failed d -> addFields(line, d);
             case Decision.TurnedAway d ->
                 line.with(CHAIN, d.chain())
                         .with("upstream", d.upstream())
@@ -128,7 +133,7 @@
             case Decision.EndedUnder d ->
                 line.with(CHAIN, d.chain()).with("upstream", d.upstream()).with(DIGEST, d.digest());
             case Decision.Quarantined d -> line.with(DIGEST, d.digest()).with(EVIDENCE, d.evidence());
-            case Decision.HeldBack d -> fill(line, d);
+            case Decision.HeldBack d -> addFields(line, d);
             case Decision.Ejected d -> line.with(CHAIN, d.chain()).with("upstream", d.upstream());
             case Decision.Member d ->
                 line.with("node", d.node())
@@ -141,7 +146,7 @@
         }
     }
 
-    private static void fill(StringMapMessage line, Decision.Refused d) {
+    private static void addFields(StringMapMessage line, Decision.Refused d) {
         line.with(REQUEST, d.request())
                 .with(CHAIN, d.chain())
                 .with(ROUTE, d.route())
@@ -151,14 +156,14 @@
                 .with("heldMs", d.heldMillis());
     }
 
-    private static void fill(StringMapMessage line, Decision.Unidentified d) {
+    private static void addFields(StringMapMessage line, Decision.Unidentified d) {
         line.with(REQUEST, d.request())
                 .with(PLAN, d.plan())
                 .with("fault", d.fault())
                 .with("signAgeMs", d.signAgeMillis());
     }
 
-    private static void fill(StringMapMessage line, Decision.Failed d) {
+    private static void addFields(StringMapMessage line, Decision.Failed d) {
         line.with(REQUEST, d.request())
                 .with(CHAIN, d.chain())
                 .with(ROUTE, d.route())
@@ -167,7 +172,7 @@
                 .with("heldMs", d.heldMillis());
     }
 
-    private static void fill(StringMapMessage line, Decision.HeldBack d) {
+    private static void addFields(StringMapMessage line, Decision.HeldBack d) {
         line.with(CHAIN, d.chain())
                 .with(DIGEST, d.digest())
                 .with("retryAfterMs", d.retryAfterMillis())
--- a/node/src/main/java/org/verbenadyke/node/trace/JsonLineLayout.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/JsonLineLayout.java
@@ -18,8 +18,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 
 /**
- * Writes each log event as one line of JSON: its time, level and part, its message, which is an object where the event
- * is structured, and the stack of an error.
+ * Writes each log event as one line of JSON with the event's time, level, logger name ({@code part}) and message, and
+ * the stack trace of an error. The message of a structured event is a JSON object.
  */
 final class JsonLineLayout extends AbstractStringLayout {
     private static final int MILLI_DIGITS = 3;
@@ -46,7 +46,7 @@
             g.writeStringField("part", event.getLoggerName());
             writeMessage(g, event);
             if (event.getThrown() != null) {
-                g.writeStringField("error", stack(event.getThrown()));
+                g.writeStringField("error", stackTrace(event.getThrown()));
             }
             g.writeEndObject();
         } catch (IOException e) {
@@ -79,7 +79,7 @@
         }
     }
 
-    private static String stack(Throwable thrown) {
+    private static String stackTrace(Throwable thrown) {
         StringWriter text = new StringWriter();
         thrown.printStackTrace(new PrintWriter(text));
         return text.toString();
--- a/node/src/main/java/org/verbenadyke/node/trace/JsonLog.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/JsonLog.java
@@ -5,14 +5,14 @@
 import org.apache.logging.log4j.core.util.Constants;
 
 /**
- * Makes the process log as {@link JsonLogConfiguration} says.
+ * Installs {@link JsonLogConfiguration} as the process's logging configuration.
  */
 public final class JsonLog {
     private JsonLog() {}
 
-    /** Sets logging up. To be called before the first logger is made: that one would set up the library's default. */
+    /** Sets up logging. Call before any logger is created: the first logger would set up Log4j's default. */
     public static void install() {
-        // One context serves the whole process; the usual selector walks the stack for each logger that is made.
+        // One context serves the whole process; the default selector walks the stack for each logger that is created.
         System.setProperty(Constants.LOG4J_CONTEXT_SELECTOR, BasicContextSelector.class.getName());
         Configurator.initialize(JsonLogConfiguration.create());
     }
--- a/node/src/main/java/org/verbenadyke/node/trace/JsonLogConfiguration.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/JsonLogConfiguration.java
@@ -7,21 +7,21 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * Logs to standard output as {@link JsonLineLayout} writes it. Set up in code and without the library's plug-ins:
- * finding and checking those takes more processor time than the rest of a node's start.
+ * Configures logging to standard output in the format of {@link JsonLineLayout}. The configuration is built in code and
+ * without Log4j's plug-ins: finding and checking plug-ins takes more processor time than the rest of a node's start.
  */
 final class JsonLogConfiguration extends AbstractConfiguration {
-    /** The library's own warnings are of no use to an operator. */
-    private static final String NETTY = "io.netty";
+    /** The logger of Netty, whose own warnings are of no use to an operator. */
+    private static final String NETTY_LOGGER = "io.netty";
 
     private static final String CONSOLE = "console";
 
-    /** A property that the library looks up by the name service unless it is set. */
+    /** A property that Log4j looks up through the name service unless the property is set. */
     private static final String HOST_NAME = "hostName";
 
     private JsonLogConfiguration() {
         super(null, ConfigurationSource.NULL_SOURCE);
-        // The program ends the log itself, after its last line.
+        // The program shuts logging down itself, after its last line.
         isShutdownHookEnabled = false;
         getProperties().put(HOST_NAME, "");
     }
@@ -30,7 +30,7 @@
         return new JsonLogConfiguration();
     }
 
-    /** Leaves out the search for plug-ins, none of which is used here. */
+    /** Skips the search for plug-ins, since this configuration uses none. */
     @Override
     public void initialize() {
         doConfigure();
@@ -45,6 +45,6 @@
         addAppender(console);
         getRootLogger().setLevel(Level.INFO);
         getRootLogger().addAppender(console, null, null);
-        addLogger(NETTY, new LoggerConfig(NETTY, Level.ERROR, true));
+        addLogger(NETTY_LOGGER, new LoggerConfig(NETTY_LOGGER, Level.ERROR, true));
     }
 }
--- a/node/src/test/java/org/verbenadyke/node/ReferenceTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ReferenceTest.java
@@ -13,7 +13,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Holds the lists of the documentation to the code. */
+/** Checks the lists in the documentation against the code. */
 final class ReferenceTest {
     private final String reference = read("REFERENCE.md");
     private final String settings = read("SETTINGS.md");
@@ -21,34 +21,34 @@
     @Test
     void listsEveryRefusalReason() {
         for (RefusalReason r : RefusalReason.values()) {
-            requires(reference, "| `" + r.label() + "` | " + r.status() + " |");
+            assertContains(reference, "| `" + r.label() + "` | " + r.status() + " |");
         }
     }
 
     @Test
     void listsEveryRetryReasonAndEvent() {
         for (RetryReason r : RetryReason.values()) {
-            requires(reference, "| `" + r.label() + "` |");
+            assertContains(reference, "| `" + r.label() + "` |");
         }
         for (Event e : Event.values()) {
-            requires(reference, "| `" + e.label() + "` |");
+            assertContains(reference, "| `" + e.label() + "` |");
         }
     }
 
     @Test
     void listsEveryErrorCode() {
         for (ErrorCode c : ErrorCode.values()) {
-            requires(reference, "| `" + c.code() + "` | `" + c.name() + "` |");
+            assertContains(reference, "| `" + c.code() + "` | `" + c.name() + "` |");
         }
     }
 
     @Test
     void listsEverySetting() {
         NodeSettingsReader.KEYS.forEach(
-                (section, keys) -> keys.forEach(k -> requires(settings, "| `" + section + "` | `" + k + "` |")));
+                (section, keys) -> keys.forEach(k -> assertContains(settings, "| `" + section + "` | `" + k + "` |")));
     }
 
-    private static void requires(String page, String line) {
+    private static void assertContains(String page, String line) {
         assertTrue(page.contains(line), "missing: " + line);
     }
 
--- a/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
+++ b/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
@@ -32,14 +32,14 @@
     private Path folder;
 
     @Test
-    void readsTheSmallestFile() throws IOException {
+    void readsAMinimalFile() throws IOException {
         NodeSettings settings = read(GOOD);
         assertEquals("a", settings.id());
         assertEquals(1004, settings.control().port());
     }
 
     @Test
-    void namesEverythingThatIsWrongAtOnce() {
+    void reportsAllProblemsAtOnce() {
         SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("""
                         [node]
                         id = a
@@ -56,24 +56,24 @@
                         a = b
                         """));
         List<String> problems = e.problems();
-        requires(problems, ErrorCode.SETTINGS_UNKNOWN_SECTION, "[extra]");
-        requires(problems, ErrorCode.SETTINGS_UNKNOWN_KEY, "data-center");
-        requires(problems, ErrorCode.SETTINGS_MISSING_KEY, "data-centre");
-        requires(problems, ErrorCode.SETTINGS_MISSING_KEY, "control");
-        requires(problems, ErrorCode.SETTINGS_BAD_VALUE, "peers");
-        requires(problems, ErrorCode.SETTINGS_BAD_VALUE, "chooser");
-        requires(problems, ErrorCode.SETTINGS_BAD_VALUE, "subset-size");
+        assertProblem(problems, ErrorCode.SETTINGS_UNKNOWN_SECTION, "[extra]");
+        assertProblem(problems, ErrorCode.SETTINGS_UNKNOWN_KEY, "data-center");
+        assertProblem(problems, ErrorCode.SETTINGS_MISSING_KEY, "data-centre");
+        assertProblem(problems, ErrorCode.SETTINGS_MISSING_KEY, "control");
+        assertProblem(problems, ErrorCode.SETTINGS_BAD_VALUE, "peers");
+        assertProblem(problems, ErrorCode.SETTINGS_BAD_VALUE, "chooser");
+        assertProblem(problems, ErrorCode.SETTINGS_BAD_VALUE, "subset-size");
         assertEquals(7, problems.size(), problems.toString());
     }
 
     @Test
-    void namesAMissingSection() {
+    void reportsAMissingSection() {
         SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("[node]\nid = a\n"));
-        requires(e.problems(), ErrorCode.SETTINGS_MISSING_SECTION, "[listen]");
+        assertProblem(e.problems(), ErrorCode.SETTINGS_MISSING_SECTION, "[listen]");
     }
 
     @Test
-    void saysThatAFileCannotBeRead() {
+    void reportsAnUnreadableFile() {
         VerbenadykeException e =
                 assertThrows(VerbenadykeException.class, () -> NodeSettingsReader.read(folder.resolve("none.ini")));
         assertEquals(ErrorCode.SETTINGS_UNREADABLE, e.code());
@@ -85,7 +85,7 @@
         return NodeSettingsReader.read(file);
     }
 
-    private static void requires(List<String> problems, ErrorCode code, String what) {
+    private static void assertProblem(List<String> problems, ErrorCode code, String what) {
         assertTrue(
                 problems.stream().anyMatch(p -> p.startsWith(code.code()) && p.contains(what)),
                 code + " " + what + " in " + problems);
--- a/node/src/test/java/org/verbenadyke/node/trace/JsonLineLayoutTest.java
+++ b/node/src/test/java/org/verbenadyke/node/trace/JsonLineLayoutTest.java
@@ -21,7 +21,7 @@
     private static final long TIME = 1_800_000_000_007L;
 
     @Test
-    void writesASentenceAsOneLine() throws IOException {
+    void writesATextMessageAsOneLine() throws IOException {
         String line = line(new SimpleMessage("Says \"this\"\nand that."), null);
         assertTrue(line.endsWith("\n"));
         assertEquals(line.length() - 1, line.indexOf('\n'));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void writesTheStackOfAnError() throws IOException {
+    void writesTheStackTraceOfAnError() throws IOException {
         JsonNode parsed = new ObjectMapper()
                 .readTree(line(new SimpleMessage("Failed."), new IllegalStateException("broken pipe")));
         assertTrue(parsed.path("error").asText().contains("broken pipe"));
--- a/node/src/test/java/org/verbenadyke/node/trace/JsonLogConfigurationTest.java
+++ b/node/src/test/java/org/verbenadyke/node/trace/JsonLogConfigurationTest.java
@@ -14,7 +14,7 @@
     private final Configuration configuration = JsonLogConfiguration.create();
 
     @Test
-    void logsLinesOfJsonToOneAppender() {
+    void logsJsonLinesToASingleAppender() {
         configuration.initialize();
         assertEquals(Set.of("console"), configuration.getAppenders().keySet());
         assertInstanceOf(
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void leavesOutTheLibrarysOwnWarnings() {
+    void suppressesNettyWarnings() {
         configuration.initialize();
         assertEquals(
                 Level.ERROR, configuration.getLoggerConfig("io.netty.channel").getLevel());
