--- a/cli/src/main/java/org/verbenadyke/cli/CommonOptions.java
+++ b/cli/src/main/java/org/verbenadyke/cli/CommonOptions.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 
 /**
- * The options that every command has.
+ * The options of all commands that talk to a node, and the output in the chosen format.
  */
 final class CommonOptions {
     @CommandLine.Option(names = "--node", required = true, description = "The control address of any node, IP:PORT.")
@@ -30,7 +30,7 @@
         }
     }
 
-    void say(String text) {
+    void info(String text) {
         if (output == Output.text) {
             spec.commandLine().getOut().println(text);
             spec.commandLine().getOut().flush();
@@ -42,7 +42,7 @@
         spec.commandLine().getErr().flush();
     }
 
-    /** How answers are printed; the names are those of the option. */
+    /** The output formats; the names are the values of the option. */
     enum Output {
         text,
         json
--- a/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
@@ -26,7 +26,7 @@
     @CommandLine.Mixin
     private CommonOptions common;
 
-    @CommandLine.Option(names = "--allow-risk", description = "Confirm in spite of the risks that the plan names.")
+    @CommandLine.Option(names = "--allow-risk", description = "Confirm in spite of the risks that the plan lists.")
     private boolean allowRisk;
 
     @CommandLine.Option(names = "--author", description = "Who confirms (default: the user's name).")
@@ -47,7 +47,7 @@
         common.print(outcome);
         return switch (outcome.path("outcome").asText()) {
             case "in-force" -> ExitCodes.DONE;
-            case "lost" -> ExitCodes.LOST;
+            case "lost" -> ExitCodes.SUPERSEDED;
             case "unknown" -> ExitCodes.UNKNOWN;
             default -> ExitCodes.FAILED;
         };
--- a/cli/src/main/java/org/verbenadyke/cli/ControlClient.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ControlClient.java
@@ -18,10 +18,10 @@
 import io.servicetalk.http.netty.HttpClients;
 
 /**
- * Talks to the control address of one node.
+ * A client of one node's control API.
  */
 final class ControlClient {
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private final Endpoint node;
 
@@ -38,20 +38,20 @@
     }
 
     JsonNode get(String path) {
-        return exchange(client -> client.get(path));
+        return send(client -> client.get(path));
     }
 
     JsonNode post(String path, String body) {
-        return exchange(client -> client.post(path)
+        return send(client -> client.post(path)
                 .payloadBody(client.executionContext().bufferAllocator().fromUtf8(body)));
     }
 
-    private JsonNode exchange(RequestMaker maker) {
+    private JsonNode send(RequestFactory factory) {
         HttpClient client =
                 HttpClients.forSingleAddress(node.host(), node.port()).build();
         try {
-            HttpResponse response = client.request(maker.make(client))
-                    .timeout(PATIENCE)
+            HttpResponse response = client.request(factory.create(client))
+                    .timeout(TIMEOUT)
                     .toFuture()
                     .get();
             return PlanJson.parse(response.payloadBody().toString(StandardCharsets.UTF_8));
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Makes the request to send.
+     * Creates the request to send.
      */
     @FunctionalInterface
-    private interface RequestMaker {
-        HttpRequest make(HttpClient client);
+    private interface RequestFactory {
+        HttpRequest create(HttpClient client);
     }
 }
--- a/cli/src/main/java/org/verbenadyke/cli/DiffCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/DiffCommand.java
@@ -11,21 +11,21 @@
 import picocli.CommandLine;
 
 /**
- * Compares two versions.
+ * Compares two versions of the configuration.
  */
 @CommandLine.Command(
         name = "diff",
         mixinStandardHelpOptions = true,
         version = Main.VERSION,
-        description = "Shows what tells two versions apart.")
+        description = "Shows the differences between two versions.")
 final class DiffCommand implements Callable<Integer> {
     @CommandLine.Mixin
     private CommonOptions common;
 
-    @CommandLine.Parameters(paramLabel = "FROM", description = "The one version.")
+    @CommandLine.Parameters(paramLabel = "FROM", description = "The first version.")
     private long from;
 
-    @CommandLine.Parameters(paramLabel = "TO", description = "The other version.")
+    @CommandLine.Parameters(paramLabel = "TO", description = "The second version.")
     private long to;
 
     @Override
@@ -37,7 +37,7 @@
             return ExitCodes.FAILED;
         }
         List<String> lines = Differences.between(PlanJson.configuration(a), PlanJson.configuration(b));
-        lines.forEach(common::say);
+        lines.forEach(common::info);
         return ExitCodes.DONE;
     }
 }
--- a/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine;
 
 /**
- * Shows what the nodes' logs say of one request.
+ * Shows the lines of the nodes' logs that concern one request.
  */
 @CommandLine.Command(
         name = "explain",
--- a/cli/src/main/java/org/verbenadyke/cli/HistoryCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/HistoryCommand.java
@@ -11,7 +11,7 @@
         name = "history",
         mixinStandardHelpOptions = true,
         version = Main.VERSION,
-        description = "Shows the latest changes and what became of them, oldest first.")
+        description = "Shows the latest changes and their outcomes, oldest first.")
 final class HistoryCommand implements Callable<Integer> {
     @CommandLine.Mixin
     private CommonOptions common;
--- a/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
+++ b/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
@@ -17,15 +17,15 @@
 import org.verbenadyke.node.settings.SettingsProblems;
 
 /**
- * Reads the operators' intents from an INI file; see docs/operations/confirming.md.
+ * Reads an operator's intents from an INI file; see docs/operations/confirming.md.
  */
 final class IntentsReader {
     private static final String IMPORTANCE = "importance";
     private static final String RETRIES = "retries";
     private static final String UPSTREAMS = "upstreams";
-    private static final int RULES_MOST = 1_000;
-    private static final int RULE_WORDS = 4;
-    private static final int NUMBER_MOST = 1_000_000;
+    private static final int MAX_RULES = 1_000;
+    private static final int WORDS_PER_RULE = 4;
+    private static final int MAX_NUMBER = 1_000_000;
 
     private IntentsReader() {}
 
@@ -35,7 +35,7 @@
         ini.checkKeys(RETRIES, Set.of("chain"));
         ini.checkKeys(UPSTREAMS, Set.of("leave", "return"));
         Optional<Integer> retries =
-                ini.text(RETRIES, "chain").map(v -> (int) ini.number(RETRIES, "chain", -NUMBER_MOST, NUMBER_MOST, 0));
+                ini.text(RETRIES, "chain").map(v -> (int) ini.number(RETRIES, "chain", -MAX_NUMBER, MAX_NUMBER, 0));
         Intents intents = new Intents(retries, rules(ini), names(ini, "leave"), names(ini, "return"));
         if (!ini.problems().isEmpty()) {
             throw SettingsProblems.of(ini.problems());
@@ -49,7 +49,7 @@
         }
         List<ImportanceRule> rules = new ArrayList<>();
         Set<String> known = new TreeSet<>();
-        for (int i = 1; i <= RULES_MOST; i++) {
+        for (int i = 1; i <= MAX_RULES; i++) {
             String key = Integer.toString(i);
             Optional<String> text = ini.text(IMPORTANCE, key);
             if (text.isEmpty()) {
@@ -64,9 +64,9 @@
 
     private static Optional<ImportanceRule> rule(IniReader ini, String key, String text) {
         String[] words = text.split("\\s+");
-        boolean level = words.length == RULE_WORDS
+        boolean level = words.length == WORDS_PER_RULE
                 && Arrays.stream(Importance.values())
-                        .anyMatch(v -> v.name().toLowerCase(Locale.ROOT).equals(words[RULE_WORDS - 1]));
+                        .anyMatch(v -> v.name().toLowerCase(Locale.ROOT).equals(words[WORDS_PER_RULE - 1]));
         if (!level) {
             ini.problem(
                     ErrorCode.SETTINGS_BAD_VALUE,
@@ -76,7 +76,7 @@
                     "must be SERVICE METHOD PATH and low, normal, high or critical");
             return Optional.empty();
         }
-        Importance importance = Importance.valueOf(words[RULE_WORDS - 1].toUpperCase(Locale.ROOT));
+        Importance importance = Importance.valueOf(words[WORDS_PER_RULE - 1].toUpperCase(Locale.ROOT));
         return Optional.of(new ImportanceRule(words[0], words[1], words[2], importance));
     }
 
--- a/cli/src/main/java/org/verbenadyke/cli/LogLines.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogLines.java
@@ -15,12 +15,13 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Finds the lines of nodes' logs that bear on one request: those that name it, those of the calls it led to and of
- * their attempts, and what nodes had learned last of each upstream that these name.
+ * Finds the lines of nodes' logs that concern one request: the lines with its id, the lines of its calls and of their
+ * attempts, and the latest state that nodes reported of each upstream in these lines.
  */
 final class LogLines {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final List<String> BELIEFS = List.of("plan", "upstream", "plan-feed", "member", "upstream-ejected");
+    private static final List<String> NODE_STATE_EVENTS =
+            List.of("plan", "upstream", "plan-feed", "member", "upstream-ejected");
 
     private final List<Line> lines;
 
@@ -39,7 +40,7 @@
         return new LogLines(lines);
     }
 
-    /** Returns the lines about a request, in the order of the log, with the beliefs before them. */
+    /** Returns the lines about a request in the order of the log, preceded by the latest reported states of nodes. */
     List<String> about(String request) {
         Set<String> chains = new HashSet<>();
         Set<String> upstreams = new HashSet<>();
@@ -58,25 +59,25 @@
         }
         upstreams.remove("");
         attempts.remove("");
-        return select(line -> line.names(request, chains, attempts), upstreams);
+        return select(line -> line.concerns(request, chains, attempts), upstreams);
     }
 
     private List<String> select(Predicate<Line> about, Set<String> upstreams) {
-        Map<String, String> beliefs = new LinkedHashMap<>();
+        Map<String, String> latestStates = new LinkedHashMap<>();
         List<String> direct = new ArrayList<>();
         for (Line line : lines) {
             if (about.test(line)) {
                 direct.add(line.text());
-            } else if (direct.isEmpty() && line.belief(upstreams)) {
-                beliefs.put(line.source() + line.part() + line.field("node"), line.text());
+            } else if (direct.isEmpty() && line.reportsStateOf(upstreams)) {
+                latestStates.put(line.source() + line.part() + line.field("node"), line.text());
             }
         }
-        List<String> all = new ArrayList<>(direct.isEmpty() ? List.of() : beliefs.values());
+        List<String> all = new ArrayList<>(direct.isEmpty() ? List.of() : latestStates.values());
         all.addAll(direct);
         return all;
     }
 
-    /** The name of the node beside an upstream: what stands before the at sign of its id. */
+    /** Returns the name of the node that an upstream is colocated with: the part of the upstream's id before the @. */
     private static String node(String upstream) {
         int at = upstream.indexOf('@');
         return at < 0 ? upstream : upstream.substring(0, at);
@@ -89,15 +90,15 @@
                 lines.add(new Line(text, text.substring(0, begin).strip(), root));
             }
         } catch (JsonProcessingException e) {
-            // A line that is no JSON is not one of a node's own lines; virtual machines write such to the same stream.
+            // Lines that aren't JSON don't come from a node but from its virtual machine, which uses the same stream.
         }
     }
 
     /**
-     * One line.
+     * One line of a log.
      *
-     * @param text the line
-     * @param source what stands before the JSON, such as a machine's name
+     * @param text the whole line
+     * @param source the text before the JSON, such as a machine's name
      * @param json the JSON
      */
     private record Line(String text, String source, JsonNode json) {
@@ -105,7 +106,7 @@
             return json.path("message").path(name).asText("");
         }
 
-        boolean names(String request, Set<String> chains, Set<String> attempts) {
+        boolean concerns(String request, Set<String> chains, Set<String> attempts) {
             return field("request").equals(request)
                     || chains.contains(field("chain"))
                     || attempts.contains(field("attempt"));
@@ -115,8 +116,9 @@
             return json.path("part").asText("");
         }
 
-        boolean belief(Set<String> nodes) {
-            return BELIEFS.contains(part()) || BELIEFS.contains(field("event")) && nodes.contains(field("node"));
+        boolean reportsStateOf(Set<String> nodes) {
+            return NODE_STATE_EVENTS.contains(part())
+                    || NODE_STATE_EVENTS.contains(field("event")) && nodes.contains(field("node"));
         }
     }
 }
--- a/cli/src/main/java/org/verbenadyke/cli/LogReport.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogReport.java
@@ -13,39 +13,40 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Counts what nodes' logs say of requests that were not simply served: refusals, failures, retries and reroutes, by
- * reason, second and route. A line that stands for others which were left out counts for them, too.
+ * Counts the refusals, failures, retries and reroutes in nodes' logs by reason, second and route. A line with a
+ * {@code leftOut} count also counts for the lines that were left out before it.
  */
 final class LogReport {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final List<String> KINDS = List.of("refused", "rerouted", "retried", "retry", "answered-failed");
+    private static final List<String> EVENT_PREFIXES =
+            List.of("refused", "rerouted", "retried", "retry", "answered-failed");
 
-    /** The length of a time to the second, such as {@code 2030-01-01T00:00:00}. */
-    private static final int TO_THE_SECOND = 19;
+    /** The length of a timestamp cut to seconds, such as {@code 2030-01-01T00:00:00}. */
+    private static final int SECOND_PRECISION_LENGTH = 19;
 
     private final Map<Cell, Long> bySecond = new TreeMap<>();
     private final Map<Cell, Long> byRoute = new TreeMap<>();
 
     private LogReport() {}
 
-    /** Reads the logs of all nodes, line by line, so that they may be larger than the memory. */
+    /** Reads the logs of all nodes line by line, so that the logs may be larger than the memory. */
     static LogReport read(BufferedReader reader) throws IOException {
         LogReport report = new LogReport();
         for (String text = reader.readLine(); text != null; text = reader.readLine()) {
             int begin = text.indexOf('{');
             if (begin >= 0) {
-                report.take(text.substring(begin));
+                report.countLine(text.substring(begin));
             }
         }
         return report;
     }
 
-    /** Tells whether there is nothing to show. */
+    /** Returns whether there is nothing to show. */
     boolean empty() {
         return bySecond.isEmpty();
     }
 
-    /** Words both tables, a line each row. */
+    /** Formats both tables, one line for each row. */
     List<String> lines() {
         List<String> lines = new ArrayList<>(table("route or service", byRoute));
         lines.add("");
@@ -53,22 +54,22 @@
         return lines;
     }
 
-    private void take(String json) {
+    private void countLine(String json) {
         JsonNode root;
         try {
             root = JSON.readTree(json);
         } catch (JsonProcessingException e) {
-            // A line that is no JSON is not one of a node's own lines; virtual machines write such to the same stream.
+            // Lines that aren't JSON don't come from a node but from its virtual machine, which uses the same stream.
             return;
         }
         JsonNode message = root.path("message");
         String event = message.path("event").asText("");
-        if (KINDS.stream().noneMatch(event::startsWith)) {
+        if (EVENT_PREFIXES.stream().noneMatch(event::startsWith)) {
             return;
         }
         long count = 1 + message.path("leftOut").asLong(0);
         String time = root.path("time").asText("");
-        String second = time.substring(0, Math.min(TO_THE_SECOND, time.length()));
+        String second = time.substring(0, Math.min(SECOND_PRECISION_LENGTH, time.length()));
         String route = message.path("route").asText(message.path("service").asText(""));
         bySecond.merge(new Cell(second, event), count, Long::sum);
         byRoute.merge(new Cell(route, event), count, Long::sum);
@@ -99,10 +100,10 @@
     }
 
     /**
-     * A cell of a table.
+     * The position of a cell in a table.
      *
-     * @param row what its row stands for
-     * @param column what its column stands for
+     * @param row the row's label
+     * @param column the column's label
      */
     private record Cell(String row, String column) implements Comparable<Cell> {
         @Override
--- a/cli/src/main/java/org/verbenadyke/cli/LogSource.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogSource.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine;
 
 /**
- * Where a command reads the nodes' logs from.
+ * The option that selects where a command reads the nodes' logs from.
  */
 final class LogSource {
     @CommandLine.Option(
--- a/cli/src/main/java/org/verbenadyke/cli/Main.java
+++ b/cli/src/main/java/org/verbenadyke/cli/Main.java
@@ -4,13 +4,13 @@
 import picocli.CommandLine;
 
 /**
- * The command-line tool of the operators.
+ * The command-line tool for operators.
  */
 @CommandLine.Command(
         name = "verbenadyke",
         mixinStandardHelpOptions = true,
         version = Main.VERSION,
-        description = "Looks at the nodes and steers them. Nothing changes until a plan is confirmed.",
+        description = "Inspects and configures the nodes. Nothing changes until a plan is confirmed.",
         subcommands = {
             StatusCommand.class,
             PlanCommand.class,
--- a/cli/src/main/java/org/verbenadyke/cli/PlanCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/PlanCommand.java
@@ -18,7 +18,7 @@
         name = "plan",
         mixinStandardHelpOptions = true,
         version = Main.VERSION,
-        description = "Shows what some intents would change and what follows; nothing changes yet.")
+        description = "Shows what some intents would change and the consequences; nothing changes yet.")
 final class PlanCommand implements Callable<Integer> {
     @CommandLine.Mixin
     private CommonOptions common;
--- a/cli/src/main/java/org/verbenadyke/cli/PlanFileOption.java
+++ b/cli/src/main/java/org/verbenadyke/cli/PlanFileOption.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine;
 
 /**
- * Where a plan is written to, for {@code confirm}.
+ * The option that selects the file that a plan is written to, for the {@code confirm} command.
  */
 final class PlanFileOption {
     @CommandLine.Option(
@@ -28,7 +28,7 @@
                 .orElseGet(() -> Path.of("plan-" + plan.path("id").asText() + ".json"));
         Files.writeString(target, plan.toPrettyString());
         common.print(plan);
-        common.say("nothing changed yet; to confirm: verbenadyke confirm " + target);
+        common.info("nothing changed yet; to confirm: verbenadyke confirm " + target);
         return ExitCodes.DONE;
     }
 }
--- a/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 
 /**
- * Shows where requests were lost, and for what reason.
+ * Shows where and why requests were refused, failed, retried or rerouted.
  */
 @CommandLine.Command(
         name = "report",
--- a/cli/src/main/java/org/verbenadyke/cli/StatusCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/StatusCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine;
 
 /**
- * Shows the state of a node, or waits until a version is in force on all of them.
+ * Shows the state of a node, or waits until a version is in force on all nodes.
  */
 @CommandLine.Command(
         name = "status",
@@ -19,8 +19,8 @@
         version = Main.VERSION,
         description = "Shows the state and the counters of a node; with --wait, whether all nodes run one version.")
 final class StatusCommand implements Callable<Integer> {
-    private static final long PAUSE_MILLIS = 200;
-    private static final long MILLIS = 1_000;
+    private static final long POLL_MILLIS = 200;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
     @CommandLine.Mixin
     private CommonOptions common;
@@ -28,7 +28,7 @@
     @CommandLine.Option(names = "--wait", description = "Wait until the configuration is in force on every node.")
     private boolean await;
 
-    @CommandLine.Option(names = "--seconds", defaultValue = "10", description = "How long to wait at most.")
+    @CommandLine.Option(names = "--seconds", defaultValue = "10", description = "The maximum time to wait.")
     private int seconds;
 
     @Override
@@ -42,16 +42,16 @@
     }
 
     private int awaitAll(long version) throws InterruptedException {
-        long end = System.currentTimeMillis() + seconds * MILLIS;
+        long deadline = System.currentTimeMillis() + seconds * MILLIS_PER_SECOND;
         while (true) {
             List<String> controls = controls();
-            long inForce = controls.stream().filter(c -> runs(c, version)).count();
+            long inForce = controls.stream().filter(c -> isInForce(c, version)).count();
             boolean all = inForce == controls.size();
-            if (all || System.currentTimeMillis() > end) {
-                common.say("version " + version + " in force on " + inForce + " of " + controls.size() + " nodes");
-                return all ? ExitCodes.DONE : ExitCodes.NOT_YET;
+            if (all || System.currentTimeMillis() > deadline) {
+                common.info("version " + version + " in force on " + inForce + " of " + controls.size() + " nodes");
+                return all ? ExitCodes.DONE : ExitCodes.NOT_IN_FORCE_YET;
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_MILLIS);
         }
     }
 
@@ -66,7 +66,7 @@
         return controls;
     }
 
-    private static boolean runs(String control, long version) {
+    private static boolean isInForce(String control, long version) {
         try {
             return ControlClient.at(control)
                             .get("/status")
--- a/cli/src/main/java/org/verbenadyke/cli/TextTable.java
+++ b/cli/src/main/java/org/verbenadyke/cli/TextTable.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Prints JSON as indented lines; zeros among counters are left out.
+ * Prints JSON as indented lines; nested numbers that are zero are omitted.
  */
 final class TextTable {
     private static final int INDENT = 2;
--- a/cli/src/main/java/org/verbenadyke/cli/UndoCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/UndoCommand.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine;
 
 /**
- * Plans to go forward to what was in force before a version.
+ * Plans a new version that restores the configuration in force before a given version.
  */
 @CommandLine.Command(
         name = "undo",
         mixinStandardHelpOptions = true,
         version = Main.VERSION,
-        description = "Plans a new version that says what was in force before VERSION; nothing changes yet.")
+        description = "Plans a new version that restores what was in force before VERSION; nothing changes yet.")
 final class UndoCommand implements Callable<Integer> {
     @CommandLine.Mixin
     private CommonOptions common;
--- a/cli/src/test/java/org/verbenadyke/cli/LogLinesTest.java
+++ b/cli/src/test/java/org/verbenadyke/cli/LogLinesTest.java
@@ -18,13 +18,13 @@
     private static final String UNRELATED = line("n1", "'event':'refused-deadline','request':'x','chain':'5-2'");
 
     @Test
-    void leadsFromARequestToWhatWasBelievedOfItsUpstream() throws IOException {
+    void includesTheLastReportedStateOfTheRequestsUpstream() throws IOException {
         LogLines lines = read(MEMBER, OTHER_MEMBER, "no json {", UNRELATED, TURNED, REFUSED);
         assertEquals(List.of(MEMBER, TURNED, REFUSED), lines.about("abc"));
     }
 
     @Test
-    void joinsWhatTheAskedNodeToldOfAnAttempt() throws IOException {
+    void joinsTheQueriedNodesReportOnAnAttempt() throws IOException {
         String asked = line("n1", "'event':'fate-asked','chain':'5-1','attempt':'5/7','sentTo':'3','asked':'4'");
         String told = line("n3", "'event':'fate-told','attempt':'5/7','runState':'may-have-run'");
         String other = line("n3", "'event':'fate-told','attempt':'5/8','runState':'not-run'");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void findsNothingOfARequestThatNoLineNames() throws IOException {
+    void findsNothingForAnUnknownRequest() throws IOException {
         assertEquals(List.of(), read(MEMBER, REFUSED).about("unknown"));
     }
 
--- a/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
+++ b/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void showsNothingOfLogsWithoutSuchLines() throws IOException {
+    void isEmptyForLogsWithoutMatchingLines() throws IOException {
         assertTrue(report("no log\n").empty());
     }
 
