--- a/examples/src/main/java/org/verbenadyke/examples/BestOfAllProvider.java
+++ b/examples/src/main/java/org/verbenadyke/examples/BestOfAllProvider.java
@@ -7,8 +7,9 @@
 import org.verbenadyke.kernel.routing.ChooserProvider;
 
 /**
- * A plug-in of one's own: chooses the candidate of the best score among all, not among two. It registers itself in
- * {@code META-INF/services} and is named in the settings as {@code chooser = best-of-all}.
+ * An example of a custom plug-in: chooses the candidate with the best score among all candidates instead of among two.
+ * The plug-in is registered in {@code META-INF/services} and selected in the settings with
+ * {@code chooser = best-of-all}.
  */
 public final class BestOfAllProvider implements ChooserProvider {
     @Override
--- a/examples/src/main/java/org/verbenadyke/examples/EmbeddedGate.java
+++ b/examples/src/main/java/org/verbenadyke/examples/EmbeddedGate.java
@@ -13,8 +13,8 @@
 import org.verbenadyke.kernel.call.RequestId;
 
 /**
- * Uses the kernel's admission alone, in front of any work of one's own: important work first, what can't be done in
- * time refused at once.
+ * Uses the kernel's admission control on its own, for any kind of work: important work runs first, and work that can't
+ * run in time is refused at once.
  */
 public final class EmbeddedGate {
     private final Gate gate = Gate.of(GateSettings.standard(), AdaptiveLimit.of(new LimitSettings(4, 1, 100)));
@@ -34,25 +34,25 @@
     /**
      * Runs some work now, later or never.
      *
-     * @param importance how much it matters
+     * @param importance the importance of the work
      * @param work the work
-     * @param refused is run instead when the work is refused; it was not run then and won't be
+     * @param refused runs instead if the work is refused; the work has not run then and never will
      */
     public void run(Importance importance, Runnable work, Runnable refused) {
         gate.offer(new Work(importance, work, refused, sequence.incrementAndGet()), System.nanoTime());
     }
 
     /**
-     * A piece of work as the gate sees it.
+     * Adapts a piece of work to the gate's queue.
      */
     private final class Work implements Waiting {
-        private static final long PATIENCE_NANOS = 1_000_000_000L;
+        private static final long TIMEOUT_NANOS = 1_000_000_000L;
 
         private final Importance importance;
         private final Runnable work;
         private final Runnable refused;
         private final int number;
-        private final long deadline = System.nanoTime() + PATIENCE_NANOS;
+        private final long deadline = System.nanoTime() + TIMEOUT_NANOS;
 
         private Work(Importance importance, Runnable work, Runnable refused, int number) {
             this.importance = importance;
--- a/examples/src/test/java/org/verbenadyke/examples/ExamplesTest.java
+++ b/examples/src/test/java/org/verbenadyke/examples/ExamplesTest.java
@@ -17,14 +17,14 @@
 /** Tests the examples of the embedding guide. */
 final class ExamplesTest {
     @Test
-    void theGateRunsWork() {
+    void gateRunsWork() {
         List<String> log = new ArrayList<>();
         EmbeddedGate.create().run(Importance.HIGH, () -> log.add("ran"), () -> log.add("refused"));
         assertEquals(List.of("ran"), log);
     }
 
     @Test
-    void thePlugInIsFoundByItsName() {
+    void plugInIsFoundByItsName() {
         Candidate idle = candidate("idle");
         Candidate busy = candidate("busy");
         busy.sent();
