--- a/cli/src/main/java/org/verbenadyke/cli/LogLines.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogLines.java
@@ -20,7 +20,8 @@
  */
 final class LogLines {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final List<String> NODE_STATE_EVENTS =
+    /** The logger names and the events of lines that report the state of nodes and plans. */
+    private static final List<String> STATE_PARTS_AND_EVENTS =
             List.of("plan", "upstream", "plan-feed", "member", "upstream-ejected");
 
     private final List<Line> lines;
@@ -117,8 +118,8 @@
         }
 
         boolean reportsStateOf(Set<String> nodes) {
-            return NODE_STATE_EVENTS.contains(part())
-                    || NODE_STATE_EVENTS.contains(field("event")) && nodes.contains(field("node"));
+            return STATE_PARTS_AND_EVENTS.contains(part())
+                    || STATE_PARTS_AND_EVENTS.contains(field("event")) && nodes.contains(field("node"));
         }
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/NodeMain.java
+++ b/node/src/main/java/org/verbenadyke/node/NodeMain.java
@@ -65,7 +65,7 @@
             return EXIT_SETTINGS;
         }
         if (check) {
-            System.out.println(file + ": the settings are fine.");
+            System.out.println(file + ": the settings are valid.");
             return 0;
         }
         return run(settings);
--- a/node/src/main/java/org/verbenadyke/node/control/LocalService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/LocalService.java
@@ -76,7 +76,7 @@
                     Endpoint address =
                             IniReader.parseEndpoint(node.path("address").asText());
                     core.announce(service, HttpUpstream.to(address, executor));
-                    LOG.info("The upstream announced itself for {}.", service);
+                    LOG.info("The upstream registered for service {}.", service);
                     return responses.noContent();
                 })
                 .onErrorReturn(IllegalArgumentException.class, e -> responses.badRequest());
--- a/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
@@ -47,7 +47,9 @@
     private static final int MAX_NAMES = 16;
 
     private final HttpPool pool;
+    /** The correlation ids of recent requests. */
     private final Deque<String> names = new ConcurrentLinkedDeque<>();
+
     private ChannelHandlerContext context;
     private ClientCall call;
     private ClientCall answeredCall;
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * A request on a connection, and the means to answer it. Methods may be called from any thread, in the answer's order.
+ * A request on a connection, and the means to answer it. Any thread may answer, as long as the calls come in order.
  */
 public interface HttpExchange {
     /**
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
@@ -14,7 +14,7 @@
  * @param body the body, empty if there is none
  */
 public record HttpRequestMessage(String method, String target, List<HeaderField> fields, byte[] body) {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     /**
      * Creates a request without a body.
@@ -25,7 +25,7 @@
      * @return the request
      */
     public static HttpRequestMessage of(String method, String target, List<HeaderField> fields) {
-        return new HttpRequestMessage(method, target, fields, NOTHING);
+        return new HttpRequestMessage(method, target, fields, EMPTY_BODY);
     }
 
     /**
--- a/node/src/main/java/org/verbenadyke/node/log/UnconfiguredLogService.java
+++ b/node/src/main/java/org/verbenadyke/node/log/UnconfiguredLogService.java
@@ -8,7 +8,7 @@
  * The log service of a node whose settings name no log: every call fails at once.
  */
 public final class UnconfiguredLogService implements LogService {
-    private static final String FAILURE_REASON = "no log is set";
+    private static final String FAILURE_REASON = "no log is configured";
 
     private UnconfiguredLogService() {}
 
--- a/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
@@ -50,9 +50,9 @@
     private final LineBudget lineBudget;
     private final LineBudget crashLineBudget;
 
-    private DecisionLogger(LineBudget budget, LineBudget endedBudget) {
-        this.lineBudget = budget;
-        this.crashLineBudget = endedBudget;
+    private DecisionLogger(LineBudget lineBudget, LineBudget crashLineBudget) {
+        this.lineBudget = lineBudget;
+        this.crashLineBudget = crashLineBudget;
     }
 
     /**
