--- a/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
@@ -29,7 +29,8 @@
             report = LogReport.read(reader);
         }
         if (report.empty()) {
-            out.println("No line reports a refusal, failure, retry or reroute. Check that the input is the logs of nodes.");
+            out.println(
+                    "No line reports a refusal, failure, retry or reroute. Check that the input is the logs of nodes.");
             return ExitCodes.FAILED;
         }
         report.lines().forEach(out::println);
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
@@ -51,7 +51,7 @@
      *
      * @param task runs at most once
      */
-    void onGone(Runnable task);
+    void onCallerDisconnected(Runnable task);
 
     /**
      * Sets the callback for the parts of the body that were sent.
--- a/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
@@ -37,7 +37,7 @@
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
         PooledExchange running = new PooledExchange(handOver, listener);
-        running.call = pool.send(dialect.request(handOver), dialect.name(handOver), running);
+        running.call = pool.send(dialect.request(handOver), dialect.correlationId(handOver), running);
         return running;
     }
 
@@ -53,7 +53,7 @@
         private final HandOver handOver;
         private final Listener listener;
         private HttpCall call;
-        private UpstreamDialect.Verdict answerKind;
+        private UpstreamDialect.AnswerKind answerKind;
         private int status;
         private List<HeaderField> fields;
         private ByteArrayOutputStream buffer = new ByteArrayOutputStream();
@@ -93,12 +93,12 @@
         public void head(int newStatus, List<HeaderField> newFields) {
             status = newStatus;
             fields = HttpFields.endToEnd(newFields);
-            answerKind = dialect.verdict(newStatus, newFields);
+            answerKind = dialect.classify(newStatus, newFields);
         }
 
         @Override
         public void data(byte[] bytes) {
-            if (answerKind != UpstreamDialect.Verdict.ANSWER) {
+            if (answerKind != UpstreamDialect.AnswerKind.ANSWER) {
                 return;
             }
             if (buffer == null) {
@@ -118,9 +118,9 @@
         @Override
         public void end() {
             dialect.ended(handOver);
-            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
-            } else if (answerKind == UpstreamDialect.Verdict.UNUSABLE) {
+            } else if (answerKind == UpstreamDialect.AnswerKind.UNUSABLE) {
                 listener.broken();
             } else {
                 deliverAnswer();
@@ -130,7 +130,7 @@
         @Override
         public void broken() {
             dialect.ended(handOver);
-            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
                 return;
             }
@@ -139,7 +139,7 @@
 
         @Override
         public void closed() {
-            if (answerKind == UpstreamDialect.Verdict.NOT_RUN) {
+            if (answerKind == UpstreamDialect.AnswerKind.NOT_RUN) {
                 broken();
                 return;
             }
--- a/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
@@ -23,7 +23,7 @@
      * @param handOver the call
      * @return the id, empty if the call has none
      */
-    String name(UpstreamPort.HandOver handOver);
+    String correlationId(UpstreamPort.HandOver handOver);
 
     /**
      * Returns whether an answer belongs to a call.
@@ -41,7 +41,7 @@
      * @param fields the header fields
      * @return the kind of answer
      */
-    Verdict verdict(int status, List<HeaderField> fields);
+    AnswerKind classify(int status, List<HeaderField> fields);
 
     /**
      * Called when a call has ended, whatever its outcome.
@@ -53,7 +53,7 @@
     /**
      * The kind of answer to a call.
      */
-    enum Verdict {
+    enum AnswerKind {
         /** A regular answer of the upstream. */
         ANSWER,
         /** The upstream did not run the call and never will. */
--- a/node/src/main/java/org/verbenadyke/node/log/UnconfiguredLogService.java
+++ b/node/src/main/java/org/verbenadyke/node/log/UnconfiguredLogService.java
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public void append(String stream, String key, byte[] record, Consumer<Appended> callback) {
-        callback.accept(new Appended.Failed(FAILURE_REASON));
+    public void append(String stream, String key, byte[] record, Consumer<AppendResult> callback) {
+        callback.accept(new AppendResult.Failed(FAILURE_REASON));
     }
 
     @Override
-    public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> callback) {
-        callback.accept(new Read.Failed(FAILURE_REASON));
+    public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> callback) {
+        callback.accept(new ReadResult.Failed(FAILURE_REASON));
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/metrics/Latencies.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/LatencyHistogram.java
@@ -8,7 +8,7 @@
 /**
  * A histogram of request latencies, from when a request was read to when its answer was complete. Thread-safe.
  */
-public final class Latencies {
+public final class LatencyHistogram {
     /** The highest trackable latency, in microseconds: no request is kept longer than a minute. */
     private static final long MAX_MICROS = 60_000_000L;
 
@@ -17,15 +17,15 @@
 
     private final Histogram histogram = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
-    private Latencies() {}
+    private LatencyHistogram() {}
 
     /**
      * Creates an empty histogram.
      *
      * @return the histogram
      */
-    public static Latencies create() {
-        return new Latencies();
+    public static LatencyHistogram create() {
+        return new LatencyHistogram();
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param percent the percentile, from 0 to 100
      * @return the latency in microseconds
      */
-    public long micros(double percent) {
+    public long percentileMicros(double percent) {
         return histogram.getValueAtPercentile(percent);
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/time/LoopTimerService.java
+++ b/node/src/main/java/org/verbenadyke/node/time/EventLoopTimerService.java
@@ -16,7 +16,7 @@
  * machine where each wake-up is costly. On the event loop the clock is read once per event-loop iteration: a request
  * queries the clock some tens of times, and an iteration is short compared with every duration that is measured.
  */
-public final class LoopTimerService implements TimerService {
+public final class EventLoopTimerService implements TimerService {
     private static final Logger LOG = LogManager.getLogger("timer");
 
     private final EventExecutor loop;
@@ -25,7 +25,7 @@
     private boolean cached;
     private long cachedNanos;
 
-    private LoopTimerService(EventExecutor loop) {
+    private EventLoopTimerService(EventExecutor loop) {
         this.loop = loop;
     }
 
@@ -35,8 +35,8 @@
      * @param loop the event loop
      * @return the timers
      */
-    public static LoopTimerService on(EventExecutor loop) {
-        return new LoopTimerService(loop);
+    public static EventLoopTimerService on(EventExecutor loop) {
+        return new EventLoopTimerService(loop);
     }
 
     @Override
--- a/node/src/main/java/org/verbenadyke/node/transport/Loops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/EventLoops.java
@@ -2,7 +2,7 @@
 
 import java.nio.channels.spi.SelectorProvider;
 
-import org.verbenadyke.kernel.time.TurnPacing;
+import org.verbenadyke.kernel.time.EventLoopPacing;
 
 import io.netty.channel.Channel;
 import io.netty.channel.DefaultSelectStrategyFactory;
@@ -19,37 +19,38 @@
  * The event loops that serve connections, with the channel types that they support.
  *
  * @param group the event loops
- * @param server the channel type of listening sockets
- * @param socket the channel type of connections
- * @param datagram the channel type of datagram sockets
+ * @param serverChannelType the channel type of listening sockets
+ * @param socketChannelType the channel type of connections
+ * @param datagramChannelType the channel type of datagram sockets
  */
-public record Loops(
+public record EventLoops(
         EventLoopGroup group,
-        Class<? extends ServerChannel> server,
-        Class<? extends Channel> socket,
-        Class<? extends Channel> datagram) {
+        Class<? extends ServerChannel> serverChannelType,
+        Class<? extends Channel> socketChannelType,
+        Class<? extends Channel> datagramChannelType) {
     /**
      * Starts event loops on the Java platform's own selectors, which need no native library.
      *
      * @param threads the number of event loops
      * @return the event loops
      */
-    public static Loops nio(int threads) {
+    public static EventLoops nio(int threads) {
         return nio(threads, DefaultSelectStrategyFactory.INSTANCE);
     }
 
     /**
-     * Starts event loops like {@link #nio} that rest between two iterations when they are busy; see {@link TurnPacing}.
+     * Starts event loops like {@link #nio} that rest between two iterations when they are busy; see
+     * {@link EventLoopPacing}.
      *
      * @param threads the number of event loops
      * @return the event loops
      */
-    public static Loops paced(int threads) {
+    public static EventLoops paced(int threads) {
         return nio(threads, PacedSelectStrategy::create);
     }
 
-    private static Loops nio(int threads, SelectStrategyFactory select) {
-        return new Loops(
+    private static EventLoops nio(int threads, SelectStrategyFactory select) {
+        return new EventLoops(
                 new NioEventLoopGroup(
                         threads, new DefaultThreadFactory("io", true), SelectorProvider.provider(), select),
                 NioServerSocketChannel.class,
--- a/node/src/main/java/org/verbenadyke/node/transport/PacedSelectStrategy.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/PacedSelectStrategy.java
@@ -2,19 +2,19 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-import org.verbenadyke.kernel.time.TurnPacing;
+import org.verbenadyke.kernel.time.EventLoopPacing;
 
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
 
 /**
- * Lets an event loop rest between two iterations, for as long as {@link TurnPacing} returns. A loop with pending tasks
- * doesn't rest but runs them first.
+ * Lets an event loop rest between two iterations, for as long as {@link EventLoopPacing} returns. A loop with pending
+ * tasks doesn't rest but runs them first.
  */
 final class PacedSelectStrategy implements SelectStrategy {
     private final SelectStrategy select = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
-    private final TurnPacing pacing = TurnPacing.quiet();
+    private final EventLoopPacing pacing = EventLoopPacing.quiet();
 
     private PacedSelectStrategy() {}
 
@@ -24,7 +24,7 @@
 
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        long rest = pacing.turnEnded(System.nanoTime());
+        long rest = pacing.iterationEnded(System.nanoTime());
         if (rest > 0 && !hasTasks) {
             LockSupport.parkNanos(rest);
         }
--- a/node/src/main/java/org/verbenadyke/node/transport/ServerProbe.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/ServerProbe.java
@@ -24,11 +24,11 @@
     private static final int CONNECT_MILLIS = 200;
 
     private final Endpoint server;
-    private final Loops loops;
+    private final EventLoops loops;
     private final Runnable connectionRefusedListener;
     private final List<UpstreamPort.Listener> waiting = new ArrayList<>();
 
-    private ServerProbe(Endpoint server, Loops loops, Runnable connectionRefusedListener) {
+    private ServerProbe(Endpoint server, EventLoops loops, Runnable connectionRefusedListener) {
         this.server = server;
         this.loops = loops;
         this.connectionRefusedListener = connectionRefusedListener;
@@ -42,7 +42,7 @@
      * @param connectionRefusedListener is called each time that a connection is refused
      * @return the probe
      */
-    public static ServerProbe of(Endpoint server, Loops loops, Runnable connectionRefusedListener) {
+    public static ServerProbe of(Endpoint server, EventLoops loops, Runnable connectionRefusedListener) {
         return new ServerProbe(server, loops, connectionRefusedListener);
     }
 
@@ -62,7 +62,7 @@
         }
         new Bootstrap()
                 .group(loops.group())
-                .channel(loops.socket())
+                .channel(loops.socketChannelType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(new InetSocketAddress(server.host(), server.port()))
@@ -82,7 +82,7 @@
             listeners = List.copyOf(waiting);
             waiting.clear();
         }
-        listeners.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamEnded);
+        listeners.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamCrashed);
     }
 
     /**
--- a/node/src/main/java/org/verbenadyke/node/transport/ServiceTalkEventLoops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/ServiceTalkEventLoops.java
@@ -8,8 +8,8 @@
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutors;
 
 /**
- * Gives access to the event loops that ServiceTalk serves HTTP on. Separate from {@link Loops}, so that a node without
- * ServiceTalk needs none of its libraries.
+ * Gives access to the event loops that ServiceTalk serves HTTP on. Separate from {@link EventLoops}, so that a node
+ * without ServiceTalk needs none of its libraries.
  */
 public final class ServiceTalkEventLoops {
     private ServiceTalkEventLoops() {}
@@ -20,10 +20,10 @@
      * @param executor the executor
      * @return the event loops
      */
-    public static Loops of(IoExecutor executor) {
+    public static EventLoops of(IoExecutor executor) {
         EventLoopGroup group = EventLoopAwareNettyIoExecutors.toEventLoopAwareNettyIoExecutor(executor)
                 .eventLoopGroup();
-        return new Loops(
+        return new EventLoops(
                 group,
                 BuilderUtils.serverChannel(group, InetSocketAddress.class),
                 BuilderUtils.socketChannel(group, InetSocketAddress.class),
--- a/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
@@ -47,13 +47,13 @@
      */
     public static UdpPort listen(
             Endpoint endpoint,
-            Loops loops,
+            EventLoops loops,
             Counters counters,
             DecisionLog decisions,
             BiConsumer<Endpoint, GossipMessage> handler) {
         ChannelFuture bound = new Bootstrap()
                 .group(loops.group())
-                .channel(loops.datagram())
+                .channel(loops.datagramChannelType())
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                 .handler(new Receiver(counters, decisions, handler))
                 .bind(new InetSocketAddress(endpoint.host(), endpoint.port()));
--- a/node/src/test/java/org/verbenadyke/node/ServerCrashTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerCrashTest.java
@@ -25,8 +25,8 @@
 import org.verbenadyke.node.http1.PoolSettings;
 import org.verbenadyke.node.http1.PooledUpstream;
 import org.verbenadyke.node.http1.UpstreamDialect;
-import org.verbenadyke.node.time.LoopTimerService;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.time.EventLoopTimerService;
+import org.verbenadyke.node.transport.EventLoops;
 import org.verbenadyke.node.transport.ServiceTalkEventLoops;
 
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutor;
@@ -39,13 +39,13 @@
     private static final int TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopAwareNettyIoExecutor io = NettyIoExecutors.createIoExecutor(1, "io");
-    private final Loops loops = ServiceTalkEventLoops.of(io);
+    private final EventLoops loops = ServiceTalkEventLoops.of(io);
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final ServerSocket server = listen();
     private final HttpPool pool = HttpPool.to(
             new Endpoint("127.0.0.1", server.getLocalPort()),
             loops,
-            LoopTimerService.on(loops.group().next()),
+            EventLoopTimerService.on(loops.group().next()),
             PoolSettings.standard());
     private final PooledUpstream pooled = PooledUpstream.over(pool, new PlainHttpDialect());
     private final HttpUpstream simple = HttpUpstream.to(new Endpoint("127.0.0.1", server.getLocalPort()), io);
@@ -86,7 +86,7 @@
 
     @Test
     void notifiesTheListenerWhenAConnectionIsRefused() throws Exception {
-        pool.onAbsent(() -> events.add("absent"));
+        pool.onConnectionRefused(() -> events.add("absent"));
         server.close();
         send(pooled);
         assertEquals("absent", nextEvent());
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void upstreamEnded() {
+        public void upstreamCrashed() {
             events.add("ended");
         }
     }
@@ -175,7 +175,7 @@
         }
 
         @Override
-        public String name(UpstreamPort.HandOver handOver) {
+        public String correlationId(UpstreamPort.HandOver handOver) {
             return "";
         }
 
@@ -185,8 +185,8 @@
         }
 
         @Override
-        public Verdict verdict(int status, List<HeaderField> fields) {
-            return Verdict.ANSWER;
+        public AnswerKind classify(int status, List<HeaderField> fields) {
+            return AnswerKind.ANSWER;
         }
 
         @Override
--- a/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
+++ b/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void reportsAllProblemsAtOnce() {
-        SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("""
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> read("""
                         [node]
                         id = a
                         data-center = d
@@ -68,7 +68,7 @@
 
     @Test
     void reportsAMissingSection() {
-        SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("[node]\nid = a\n"));
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> read("[node]\nid = a\n"));
         assertProblem(e.problems(), ErrorCode.SETTINGS_MISSING_SECTION, "[listen]");
     }
 
