--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -43,8 +43,8 @@
         Engine engine = core.engine();
         ObjectNode node = JSON.createObjectNode();
         node.put("node", settings.id());
-        node.put("region", settings.place().region());
-        node.put("dataCentre", settings.place().dataCentre());
+        node.put("region", settings.location().region());
+        node.put("dataCentre", settings.location().dataCentre());
         node.put("configurationVersion", engine.configuration().version());
         node.put(
                 "configurationOffset",
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
@@ -11,7 +11,7 @@
  * The validated settings of one node.
  *
  * @param id the node's name
- * @param place the node's region and data centre
+ * @param location the node's region and data centre
  * @param peers the address to listen on for other nodes
  * @param entry the address to listen on for callers
  * @param local the address to listen on for the upstream that the node is colocated with
@@ -25,7 +25,7 @@
  */
 public record NodeSettings(
         String id,
-        Location place,
+        Location location,
         Endpoint peers,
         Endpoint entry,
         Endpoint local,
