--- a/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
@@ -37,7 +37,7 @@
 
     @Override
     public Integer call() {
-        JsonNode plan = read();
+        JsonNode plan = readPlan();
         if (!plan.path("risks").isEmpty() && !allowRisk) {
             plan.path("risks").forEach(r -> common.warn(r.asText()));
             return ExitCodes.RISKY;
@@ -53,7 +53,7 @@
         };
     }
 
-    private JsonNode read() {
+    private JsonNode readPlan() {
         try {
             JsonNode plan = PlanJson.parse(Files.readString(file));
             if (!plan.isObject() || !plan.has("id") || !plan.has("next")) {
--- a/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
@@ -13,7 +13,7 @@
  */
 @CommandLine.Command(
         name = "explain",
-        description = "Shows the log lines that led to what became of a request. Reads the nodes' logs.")
+        description = "Shows the log lines that explain the outcome of a request. Reads the nodes' logs.")
 final class ExplainCommand implements Callable<Integer> {
     @CommandLine.Parameters(paramLabel = "ID", description = "The request's id, as its caller knows it.")
     private String request;
--- a/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
+++ b/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
@@ -64,10 +64,10 @@
 
     private static Optional<ImportanceRule> rule(IniReader ini, String key, String text) {
         String[] words = text.split("\\s+");
-        boolean level = words.length == WORDS_PER_RULE
+        boolean wellFormed = words.length == WORDS_PER_RULE
                 && Arrays.stream(Importance.values())
                         .anyMatch(v -> v.name().toLowerCase(Locale.ROOT).equals(words[WORDS_PER_RULE - 1]));
-        if (!level) {
+        if (!wellFormed) {
             ini.addProblem(
                     ErrorCode.SETTINGS_BAD_VALUE,
                     IMPORTANCE,
--- a/cli/src/main/java/org/verbenadyke/cli/LogLines.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogLines.java
@@ -54,16 +54,16 @@
         chains.remove("");
         for (Line line : lines) {
             if (chains.contains(line.field("chain"))) {
-                upstreams.add(node(line.field("upstream")));
+                upstreams.add(nodeOf(line.field("upstream")));
                 attempts.add(line.field("attempt"));
             }
         }
         upstreams.remove("");
         attempts.remove("");
-        return select(line -> line.concerns(request, chains, attempts), upstreams);
+        return selectLines(line -> line.concerns(request, chains, attempts), upstreams);
     }
 
-    private List<String> select(Predicate<Line> about, Set<String> upstreams) {
+    private List<String> selectLines(Predicate<Line> about, Set<String> upstreams) {
         Map<String, String> latestStates = new LinkedHashMap<>();
         List<String> direct = new ArrayList<>();
         for (Line line : lines) {
@@ -79,7 +79,7 @@
     }
 
     /** Returns the name of the node that an upstream is colocated with: the part of the upstream's id before the @. */
-    private static String node(String upstream) {
+    private static String nodeOf(String upstream) {
         int at = upstream.indexOf('@');
         return at < 0 ? upstream : upstream.substring(0, at);
     }
--- a/cli/src/main/java/org/verbenadyke/cli/LogReport.java
+++ b/cli/src/main/java/org/verbenadyke/cli/LogReport.java
@@ -42,15 +42,15 @@
     }
 
     /** Returns whether there is nothing to show. */
-    boolean empty() {
+    boolean isEmpty() {
         return bySecond.isEmpty();
     }
 
     /** Formats both tables, one line for each row. */
     List<String> lines() {
-        List<String> lines = new ArrayList<>(table("route or service", byRoute));
+        List<String> lines = new ArrayList<>(formatTable("route or service", byRoute));
         lines.add("");
-        lines.addAll(table("second", bySecond));
+        lines.addAll(formatTable("second", bySecond));
         return lines;
     }
 
@@ -75,7 +75,7 @@
         byRoute.merge(new Cell(route, event), count, Long::sum);
     }
 
-    private static List<String> table(String title, Map<Cell, Long> cells) {
+    private static List<String> formatTable(String title, Map<Cell, Long> cells) {
         TreeSet<String> rows = new TreeSet<>();
         TreeSet<String> columns = new TreeSet<>();
         cells.keySet().forEach(c -> {
--- a/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
@@ -28,7 +28,7 @@
         try (BufferedReader reader = source.open()) {
             report = LogReport.read(reader);
         }
-        if (report.empty()) {
+        if (report.isEmpty()) {
             out.println(
                     "No line reports a refusal, failure, retry or reroute. Check that the input is the logs of nodes.");
             return ExitCodes.FAILED;
--- a/cli/src/main/java/org/verbenadyke/cli/StatusCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/StatusCommand.java
@@ -28,7 +28,7 @@
     @CommandLine.Option(names = "--wait", description = "Wait until the configuration is in force on every node.")
     private boolean await;
 
-    @CommandLine.Option(names = "--seconds", defaultValue = "10", description = "The maximum time to wait.")
+    @CommandLine.Option(names = "--seconds", defaultValue = "10", description = "The maximum time to wait, in seconds.")
     private int seconds;
 
     @Override
@@ -44,7 +44,7 @@
     private int awaitAll(long version) throws InterruptedException {
         long deadline = System.currentTimeMillis() + seconds * MILLIS_PER_SECOND;
         while (true) {
-            List<String> controls = controls();
+            List<String> controls = controlAddresses();
             long inForce = controls.stream().filter(c -> isInForce(c, version)).count();
             boolean all = inForce == controls.size();
             if (all || System.currentTimeMillis() > deadline) {
@@ -55,7 +55,7 @@
         }
     }
 
-    private List<String> controls() {
+    private List<String> controlAddresses() {
         List<String> controls = new ArrayList<>();
         for (JsonNode m : common.client().get("/status").path("members")) {
             String state = m.path("state").asText();
--- a/cli/src/main/java/org/verbenadyke/cli/TextTable.java
+++ b/cli/src/main/java/org/verbenadyke/cli/TextTable.java
@@ -27,14 +27,14 @@
                 print(out, value, depth + 1);
             } else if (value.isArray()) {
                 out.println(label);
-                value.forEach(v -> out.println(" ".repeat((depth + 1) * INDENT) + line(v)));
+                value.forEach(v -> out.println(" ".repeat((depth + 1) * INDENT) + formatLine(v)));
             } else if (depth == 0 || !value.isNumber() || value.asLong() != 0) {
                 out.println(label + " " + value.asText());
             }
         }
     }
 
-    private static String line(JsonNode value) {
+    private static String formatLine(JsonNode value) {
         if (!value.isObject()) {
             return value.asText();
         }
--- a/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
+++ b/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void isEmptyForLogsWithoutMatchingLines() throws IOException {
-        assertTrue(report("no log\n").empty());
+        assertTrue(report("no log\n").isEmpty());
     }
 
     private static String line(String node, String seconds, String message) {
--- a/node/src/main/java/org/verbenadyke/node/control/ControlService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ControlService.java
@@ -61,25 +61,30 @@
             case "/history" -> Single.succeeded(respond(context, responses, JSON, configuration.history()));
             case "/show" ->
                 respondWhenDone(
-                        context, responses, callback -> configuration.show(number(request, "version", -1), callback));
+                        context,
+                        responses,
+                        callback -> configuration.show(numberParameter(request, "version", -1), callback));
             case "/undo" ->
                 respondWhenDone(
-                        context, responses, callback -> configuration.undo(number(request, "version", 0), callback));
+                        context,
+                        responses,
+                        callback -> configuration.undo(numberParameter(request, "version", 0), callback));
             case "/plan" ->
-                body(request).flatMap(b -> Single.succeeded(respond(context, responses, JSON, configuration.plan(b))));
+                readBody(request)
+                        .flatMap(b -> Single.succeeded(respond(context, responses, JSON, configuration.plan(b))));
             case "/confirm" ->
-                body(request)
+                readBody(request)
                         .flatMap(b ->
                                 respondWhenDone(context, responses, callback -> configuration.confirm(b, callback)));
             default -> Single.succeeded(responses.notFound());
         };
     }
 
-    private static Single<String> body(StreamingHttpRequest request) {
+    private static Single<String> readBody(StreamingHttpRequest request) {
         return request.toRequest().map(r -> r.payloadBody().toString(StandardCharsets.UTF_8));
     }
 
-    private static long number(StreamingHttpRequest request, String name, long defaultValue) {
+    private static long numberParameter(StreamingHttpRequest request, String name, long defaultValue) {
         return Optional.ofNullable(request.queryParameter(name))
                 .filter(v -> v.matches("[0-9]{1,18}"))
                 .map(Long::parseLong)
--- a/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
+++ b/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
@@ -53,9 +53,9 @@
     public static ObjectNode of(Intents intents) {
         ObjectNode node = JSON.createObjectNode();
         intents.retries().ifPresent(r -> node.put("retries", r));
-        intents.rules().ifPresent(rules -> rules(node.putArray("rules"), rules));
-        names(node.putArray("leave"), intents.leave());
-        names(node.putArray("return"), intents.back());
+        intents.rules().ifPresent(rules -> writeRules(node.putArray("rules"), rules));
+        writeNames(node.putArray("leave"), intents.leave());
+        writeNames(node.putArray("return"), intents.back());
         return node;
     }
 
@@ -68,9 +68,9 @@
     public static Intents intents(JsonNode node) {
         return new Intents(
                 node.has("retries") ? Optional.of(node.path("retries").asInt()) : Optional.empty(),
-                node.has("rules") ? Optional.of(rules(node.path("rules"))) : Optional.empty(),
-                names(node.path("leave")),
-                names(node.path("return")));
+                node.has("rules") ? Optional.of(readRules(node.path("rules"))) : Optional.empty(),
+                readNames(node.path("leave")),
+                readNames(node.path("return")));
     }
 
     /**
@@ -84,9 +84,9 @@
         node.put("id", plan.id());
         node.put("base", plan.base());
         node.set("next", of(plan.next()));
-        names(node.putArray("differences"), plan.differences());
-        names(node.putArray("consequences"), plan.consequences());
-        names(node.putArray("risks"), plan.risks());
+        writeNames(node.putArray("differences"), plan.differences());
+        writeNames(node.putArray("consequences"), plan.consequences());
+        writeNames(node.putArray("risks"), plan.risks());
         return node;
     }
 
@@ -100,8 +100,8 @@
         ObjectNode node = JSON.createObjectNode();
         node.put("version", configuration.version());
         node.put("retries", configuration.retries());
-        rules(node.putArray("rules"), configuration.rules());
-        names(node.putArray("leaving"), new TreeSet<>(configuration.leaving()));
+        writeRules(node.putArray("rules"), configuration.rules());
+        writeNames(node.putArray("leaving"), new TreeSet<>(configuration.leaving()));
         return node;
     }
 
@@ -115,11 +115,11 @@
         return new Configuration(
                 node.path("version").asLong(),
                 node.path("retries").asInt(),
-                rules(node.path("rules")),
-                names(node.path("leaving")));
+                readRules(node.path("rules")),
+                readNames(node.path("leaving")));
     }
 
-    private static void rules(ArrayNode array, List<ImportanceRule> rules) {
+    private static void writeRules(ArrayNode array, List<ImportanceRule> rules) {
         for (ImportanceRule r : rules) {
             ObjectNode rule = array.addObject();
             rule.put("service", r.service());
@@ -129,7 +129,7 @@
         }
     }
 
-    private static List<ImportanceRule> rules(JsonNode array) {
+    private static List<ImportanceRule> readRules(JsonNode array) {
         List<ImportanceRule> rules = new ArrayList<>();
         for (JsonNode r : array) {
             rules.add(new ImportanceRule(
@@ -141,11 +141,11 @@
         return List.copyOf(rules);
     }
 
-    private static void names(ArrayNode array, Iterable<String> names) {
+    private static void writeNames(ArrayNode array, Iterable<String> names) {
         names.forEach(array::add);
     }
 
-    private static Set<String> names(JsonNode array) {
+    private static Set<String> readNames(JsonNode array) {
         Set<String> names = new TreeSet<>();
         array.forEach(n -> names.add(n.asText()));
         return Set.copyOf(names);
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -66,12 +66,12 @@
         });
         node.put("links", engine.links().size());
         node.put("requestsUnderWay", engine.dispatcher().inFlight());
-        members(node.putArray("members"));
-        counters(node.putObject("counters"));
+        addMembers(node.putArray("members"));
+        addCounters(node.putObject("counters"));
         return node.toString();
     }
 
-    private void members(ArrayNode array) {
+    private void addMembers(ArrayNode array) {
         for (MemberRecord r : core.members().records()) {
             ObjectNode m = array.addObject();
             m.put("node", r.nodeId());
@@ -83,7 +83,7 @@
         }
     }
 
-    private void counters(ObjectNode node) {
+    private void addCounters(ObjectNode node) {
         ObjectNode events = node.putObject("events");
         for (Event e : Event.values()) {
             events.put(e.label(), counters.events(e));
--- a/node/src/main/java/org/verbenadyke/node/http/HttpUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http/HttpUpstream.java
@@ -66,7 +66,7 @@
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
         UpstreamExchange exchange = new UpstreamExchange(listener, probe);
-        SourceAdapters.toSource(client.request(request(handOver))).subscribe(exchange);
+        SourceAdapters.toSource(client.request(toHttpRequest(handOver))).subscribe(exchange);
         return exchange;
     }
 
@@ -75,7 +75,7 @@
         client.closeAsync().subscribe();
     }
 
-    private StreamingHttpRequest request(HandOver handOver) {
+    private StreamingHttpRequest toHttpRequest(HandOver handOver) {
         HttpRequestMethod method = HttpRequestMethod.of(handOver.content().method(), HttpRequestMethod.Properties.NONE);
         StreamingHttpRequest request =
                 client.newRequest(method, handOver.content().path());
@@ -93,7 +93,7 @@
         return request;
     }
 
-    private static List<HeaderField> fields(StreamingHttpResponse response) {
+    private static List<HeaderField> endToEndFields(StreamingHttpResponse response) {
         List<HeaderField> fields = new ArrayList<>();
         for (Map.Entry<CharSequence, CharSequence> h : response.headers()) {
             String name = h.getKey().toString().toLowerCase(Locale.ROOT);
@@ -144,7 +144,7 @@
 
         @Override
         public void onSuccess(StreamingHttpResponse response) {
-            List<HeaderField> fields = fields(response);
+            List<HeaderField> fields = endToEndFields(response);
             int status = response.status().code();
             SourceAdapters.toSource(response.payloadBody()).subscribe(this);
             listener.head(status, fields);
--- a/node/src/main/java/org/verbenadyke/node/http/RequestService.java
+++ b/node/src/main/java/org/verbenadyke/node/http/RequestService.java
@@ -83,7 +83,7 @@
             refuse(answer, RefusalReason.BODY_TOO_LARGE);
             return;
         }
-        Optional<InboundRequest> inbound = inbound(request, body.bytes());
+        Optional<InboundRequest> inbound = toInboundRequest(request, body.bytes());
         if (inbound.isEmpty()) {
             refuse(answer, RefusalReason.NO_SERVICE);
             return;
@@ -101,7 +101,7 @@
         answer.refused(Refusal.notRun(reason, 0));
     }
 
-    private Optional<InboundRequest> inbound(StreamingHttpRequest request, byte[] body) {
+    private Optional<InboundRequest> toInboundRequest(StreamingHttpRequest request, byte[] body) {
         String target = request.requestTarget();
         int end = target.indexOf('/', 1);
         if (!target.startsWith("/") || end <= 1) {
--- a/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
@@ -36,9 +36,9 @@
 
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
-        PooledExchange running = new PooledExchange(handOver, listener);
-        running.call = pool.send(dialect.request(handOver), dialect.correlationId(handOver), running);
-        return running;
+        PooledExchange exchange = new PooledExchange(handOver, listener);
+        exchange.call = pool.send(dialect.request(handOver), dialect.correlationId(handOver), exchange);
+        return exchange;
     }
 
     @Override
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -70,14 +70,14 @@
         NodeSettings settings = new NodeSettings(
                 ini.requiredText("node", "id"),
                 new Location(ini.requiredText("node", "region"), ini.requiredText("node", "data-centre")),
-                listen(ini, "peers"),
-                listen(ini, "entry"),
-                listen(ini, "local"),
-                listen(ini, "control"),
+                listenEndpoint(ini, "peers"),
+                listenEndpoint(ini, "entry"),
+                listenEndpoint(ini, "local"),
+                listenEndpoint(ini, "control"),
                 ini.endpoint("log", "address"),
                 seeds(ini),
                 policy(ini),
-                format(ini),
+                isJsonFormat(ini),
                 ini.flag("node", "ledger", true),
                 (int) ini.number("node", "io-threads", 1, MAX_IO_THREADS, DEFAULT_IO_THREADS));
         if (!ini.problems().isEmpty()) {
@@ -86,7 +86,7 @@
         return settings;
     }
 
-    private static Endpoint listen(IniReader ini, String key) {
+    private static Endpoint listenEndpoint(IniReader ini, String key) {
         ini.requiredText("listen", key);
         return ini.endpoint("listen", key).orElse(PLACEHOLDER_ENDPOINT);
     }
@@ -102,7 +102,7 @@
                 .orElse(List.of());
     }
 
-    private static boolean format(IniReader ini) {
+    private static boolean isJsonFormat(IniReader ini) {
         String format = ini.text("logging", "format").orElse("text");
         if (!format.equals("text") && !format.equals("json")) {
             ini.addProblem(ErrorCode.SETTINGS_BAD_VALUE, "logging", "format", format, "must be text or json");
@@ -118,9 +118,9 @@
                 (int) ini.number("policy", "limit-least", 1, MAX_LIMIT, l.minimum()),
                 (int) ini.number("policy", "limit-most", 1, MAX_LIMIT, l.maximum()));
         DispatchSettings d = base.dispatch();
-        long percent =
+        long retryPercent =
                 ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.retryRatio() * PERCENT));
-        long after = ini.number("policy", "retry-after-ms", 0, MAX_RETRY_AFTER_MILLIS, d.retryAfterMillis());
+        long retryAfterMillis = ini.number("policy", "retry-after-ms", 0, MAX_RETRY_AFTER_MILLIS, d.retryAfterMillis());
         GateSettings gate = base.gate();
         return new Policy(
                 choice(ini, "chooser", base.chooser(), PlugIns.choosers()),
@@ -128,19 +128,19 @@
                 (int) ini.number(
                         "policy", "subset-size", 1, MAX_SUBSET_SIZE, Math.min(MAX_SUBSET_SIZE, base.subsetSize())),
                 base.perHopRetries(),
-                millis(ini, "default-ttl-ms", MAX_TTL_MILLIS, base.defaultTtlNanos()),
-                ini.number("policy", "key-retention-s", 1, MAX_RETENTION_SECONDS, seconds(base.keyRetentionNanos()))
+                millisAsNanos(ini, "default-ttl-ms", MAX_TTL_MILLIS, base.defaultTtlNanos()),
+                ini.number("policy", "key-retention-s", 1, MAX_RETENTION_SECONDS, toSeconds(base.keyRetentionNanos()))
                         * NANOS_PER_SECOND,
                 gate,
                 limits,
                 new DispatchSettings(
-                        percent / PERCENT,
+                        retryPercent / PERCENT,
                         d.maxSavedRetries(),
                         d.retryPerHop(),
                         d.attemptTimeoutNanos(),
                         d.ratioCoversLostConnections(),
                         d.nestedCallsExempt(),
-                        after),
+                        retryAfterMillis),
                 base.serve(),
                 base.link());
     }
@@ -162,11 +162,11 @@
         return value.orElse(defaultValue);
     }
 
-    private static long millis(IniReader ini, String key, long max, long defaultNanos) {
+    private static long millisAsNanos(IniReader ini, String key, long max, long defaultNanos) {
         return ini.number("policy", key, 1, max, defaultNanos / NANOS_PER_MILLI) * NANOS_PER_MILLI;
     }
 
-    private static long seconds(long nanos) {
+    private static long toSeconds(long nanos) {
         return nanos / NANOS_PER_SECOND;
     }
 }
