--- a/node/src/main/java/org/verbenadyke/node/http/HeaderNames.java
+++ b/node/src/main/java/org/verbenadyke/node/http/HeaderNames.java
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Returns whether a field controls the nodes' decisions. Such fields are never accepted from external callers.
+     * Returns whether a field controls the nodes' decisions. Such fields are never forwarded, and of those that
+     * external callers send, only the deadline is used.
      *
      * @param name the name
      * @return whether the field is reserved for nodes
--- a/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ClientConnection.java
@@ -44,11 +44,11 @@
      * The number of correlation ids that are retained; a connection carries a handful in the time in which a request
      * may be repeated.
      */
-    private static final int MAX_NAMES = 16;
+    private static final int MAX_RECENT_IDS = 16;
 
     private final HttpPool pool;
     /** The correlation ids of recent requests. */
-    private final Deque<String> names = new ConcurrentLinkedDeque<>();
+    private final Deque<String> recentIds = new ConcurrentLinkedDeque<>();
 
     private ChannelHandlerContext context;
     private ClientCall call;
@@ -133,8 +133,8 @@
      * second time and would then be matched to the next request with the same id: a request that ran would be reported
      * as not run.
      */
-    boolean hasCarried(String name) {
-        return !name.isEmpty() && names.contains(name);
+    boolean hasCarried(String correlationId) {
+        return !correlationId.isEmpty() && recentIds.contains(correlationId);
     }
 
     void abandon(ClientCall cancelled) {
@@ -165,7 +165,7 @@
         skipping = false;
         headReceived = false;
         next.bind(this);
-        recordName(next.correlationId());
+        recordId(next.correlationId());
         HttpRequestMessage m = next.message();
         HttpHeaders headers = HttpFields.headers(m.fields());
         if (m.body().length > 0 || !m.method().equals("GET")) {
@@ -180,14 +180,14 @@
                 EmptyHttpHeaders.INSTANCE));
     }
 
-    private void recordName(String name) {
-        if (name.isEmpty()) {
+    private void recordId(String correlationId) {
+        if (correlationId.isEmpty()) {
             return;
         }
-        if (names.size() >= MAX_NAMES) {
-            names.removeFirst();
+        if (recentIds.size() >= MAX_RECENT_IDS) {
+            recentIds.removeFirst();
         }
-        names.addLast(name);
+        recentIds.addLast(correlationId);
     }
 
     private void process(HttpObject message) {
