--- a/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ConfirmCommand.java
@@ -26,7 +26,7 @@
     @CommandLine.Mixin
     private CommonOptions common;
 
-    @CommandLine.Option(names = "--allow-risk", description = "Confirm in spite of the risks that the plan names.")
+    @CommandLine.Option(names = "--allow-risk", description = "Confirm in spite of the risks that the plan lists.")
     private boolean allowRisk;
 
     @CommandLine.Option(names = "--author", description = "Who confirms (default: the user's name).")
@@ -37,7 +37,7 @@
 
     @Override
     public Integer call() {
-        JsonNode plan = read();
+        JsonNode plan = readPlan();
         if (!plan.path("risks").isEmpty() && !allowRisk) {
             plan.path("risks").forEach(r -> common.warn(r.asText()));
             return ExitCodes.RISKY;
@@ -47,13 +47,13 @@
         common.print(outcome);
         return switch (outcome.path("outcome").asText()) {
             case "in-force" -> ExitCodes.DONE;
-            case "lost" -> ExitCodes.LOST;
+            case "lost" -> ExitCodes.SUPERSEDED;
             case "unknown" -> ExitCodes.UNKNOWN;
             default -> ExitCodes.FAILED;
         };
     }
 
-    private JsonNode read() {
+    private JsonNode readPlan() {
         try {
             JsonNode plan = PlanJson.parse(Files.readString(file));
             if (!plan.isObject() || !plan.has("id") || !plan.has("next")) {
--- a/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ExplainCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine;
 
 /**
- * Shows what the nodes' logs say of one request.
+ * Shows the lines of the nodes' logs that concern one request.
  */
 @CommandLine.Command(
         name = "explain",
-        description = "Shows the log lines that led to what became of a request. Reads the nodes' logs.")
+        description = "Shows the log lines that explain the outcome of a request. Reads the nodes' logs.")
 final class ExplainCommand implements Callable<Integer> {
     @CommandLine.Parameters(paramLabel = "ID", description = "The request's id, as its caller knows it.")
     private String request;
--- a/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/ReportCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 
 /**
- * Shows where requests were lost, and for what reason.
+ * Shows where and why requests were refused, failed, retried or rerouted.
  */
 @CommandLine.Command(
         name = "report",
@@ -28,8 +28,9 @@
         try (BufferedReader reader = source.open()) {
             report = LogReport.read(reader);
         }
-        if (report.empty()) {
-            out.println("No line tells of a refusal, failure, retry or reroute. Check that these are logs of nodes.");
+        if (report.isEmpty()) {
+            out.println(
+                    "No line reports a refusal, failure, retry or reroute. Check that the input is the logs of nodes.");
             return ExitCodes.FAILED;
         }
         report.lines().forEach(out::println);
--- a/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
+++ b/cli/src/test/java/org/verbenadyke/cli/LogReportTest.java
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void showsNothingOfLogsWithoutSuchLines() throws IOException {
-        assertTrue(report("no log\n").empty());
+    void isEmptyForLogsWithoutMatchingLines() throws IOException {
+        assertTrue(report("no log\n").isEmpty());
     }
 
     private static String line(String node, String seconds, String message) {
--- a/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
+++ b/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
@@ -22,7 +22,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Words intents, plans and configurations as JSON between the command-line tool and the nodes.
+ * Converts intents, plans and configurations to and from the JSON that the command-line tool and the nodes exchange.
  */
 public final class PlanJson {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,9 +30,9 @@
     private PlanJson() {}
 
     /**
-     * Parses text.
+     * Parses JSON.
      *
-     * @param text JSON
+     * @param text the JSON
      * @return the parsed node
      * @throws VerbenadykeException with {@link ErrorCode#PLAN_UNKNOWN}
      */
@@ -45,81 +45,81 @@
     }
 
     /**
-     * Words intents.
+     * Converts intents to JSON.
      *
      * @param intents the intents
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(Intents intents) {
         ObjectNode node = JSON.createObjectNode();
         intents.retries().ifPresent(r -> node.put("retries", r));
-        intents.rules().ifPresent(rules -> rules(node.putArray("rules"), rules));
-        names(node.putArray("leave"), intents.leave());
-        names(node.putArray("return"), intents.back());
+        intents.rules().ifPresent(rules -> writeRules(node.putArray("rules"), rules));
+        writeNames(node.putArray("leave"), intents.leave());
+        writeNames(node.putArray("return"), intents.back());
         return node;
     }
 
     /**
-     * Reads intents.
+     * Reads intents from JSON.
      *
-     * @param node JSON
+     * @param node the JSON
      * @return the intents
      */
     public static Intents intents(JsonNode node) {
         return new Intents(
                 node.has("retries") ? Optional.of(node.path("retries").asInt()) : Optional.empty(),
-                node.has("rules") ? Optional.of(rules(node.path("rules"))) : Optional.empty(),
-                names(node.path("leave")),
-                names(node.path("return")));
+                node.has("rules") ? Optional.of(readRules(node.path("rules"))) : Optional.empty(),
+                readNames(node.path("leave")),
+                readNames(node.path("return")));
     }
 
     /**
-     * Words a plan.
+     * Converts a plan to JSON.
      *
      * @param plan the plan
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(ChangePlan plan) {
         ObjectNode node = JSON.createObjectNode();
         node.put("id", plan.id());
         node.put("base", plan.base());
         node.set("next", of(plan.next()));
-        names(node.putArray("differences"), plan.differences());
-        names(node.putArray("consequences"), plan.consequences());
-        names(node.putArray("risks"), plan.risks());
+        writeNames(node.putArray("differences"), plan.differences());
+        writeNames(node.putArray("consequences"), plan.consequences());
+        writeNames(node.putArray("risks"), plan.risks());
         return node;
     }
 
     /**
-     * Words a configuration.
+     * Converts a configuration to JSON.
      *
      * @param configuration the configuration
-     * @return JSON
+     * @return the JSON
      */
     public static ObjectNode of(Configuration configuration) {
         ObjectNode node = JSON.createObjectNode();
         node.put("version", configuration.version());
         node.put("retries", configuration.retries());
-        rules(node.putArray("rules"), configuration.rules());
-        names(node.putArray("leaving"), new TreeSet<>(configuration.leaving()));
+        writeRules(node.putArray("rules"), configuration.rules());
+        writeNames(node.putArray("leaving"), new TreeSet<>(configuration.leaving()));
         return node;
     }
 
     /**
-     * Reads a configuration.
+     * Reads a configuration from JSON.
      *
-     * @param node JSON
+     * @param node the JSON
      * @return the configuration
      */
     public static Configuration configuration(JsonNode node) {
         return new Configuration(
                 node.path("version").asLong(),
                 node.path("retries").asInt(),
-                rules(node.path("rules")),
-                names(node.path("leaving")));
+                readRules(node.path("rules")),
+                readNames(node.path("leaving")));
     }
 
-    private static void rules(ArrayNode array, List<ImportanceRule> rules) {
+    private static void writeRules(ArrayNode array, List<ImportanceRule> rules) {
         for (ImportanceRule r : rules) {
             ObjectNode rule = array.addObject();
             rule.put("service", r.service());
@@ -129,7 +129,7 @@
         }
     }
 
-    private static List<ImportanceRule> rules(JsonNode array) {
+    private static List<ImportanceRule> readRules(JsonNode array) {
         List<ImportanceRule> rules = new ArrayList<>();
         for (JsonNode r : array) {
             rules.add(new ImportanceRule(
@@ -141,11 +141,11 @@
         return List.copyOf(rules);
     }
 
-    private static void names(ArrayNode array, Iterable<String> names) {
+    private static void writeNames(ArrayNode array, Iterable<String> names) {
         names.forEach(array::add);
     }
 
-    private static Set<String> names(JsonNode array) {
+    private static Set<String> readNames(JsonNode array) {
         Set<String> names = new TreeSet<>();
         array.forEach(n -> names.add(n.asText()));
         return Set.copyOf(names);
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -19,7 +19,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Reports a node's state as JSON.
+ * Renders a node's state as JSON.
  */
 final class StatusReport {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,8 +43,8 @@
         Engine engine = core.engine();
         ObjectNode node = JSON.createObjectNode();
         node.put("node", settings.id());
-        node.put("region", settings.place().region());
-        node.put("dataCentre", settings.place().dataCentre());
+        node.put("region", settings.location().region());
+        node.put("dataCentre", settings.location().dataCentre());
         node.put("configurationVersion", engine.configuration().version());
         node.put(
                 "configurationOffset",
@@ -66,12 +66,12 @@
         });
         node.put("links", engine.links().size());
         node.put("requestsUnderWay", engine.dispatcher().inFlight());
-        members(node.putArray("members"));
-        counters(node.putObject("counters"));
+        addMembers(node.putArray("members"));
+        addCounters(node.putObject("counters"));
         return node.toString();
     }
 
-    private void members(ArrayNode array) {
+    private void addMembers(ArrayNode array) {
         for (MemberRecord r : core.members().records()) {
             ObjectNode m = array.addObject();
             m.put("node", r.nodeId());
@@ -83,7 +83,7 @@
         }
     }
 
-    private void counters(ObjectNode node) {
+    private void addCounters(ObjectNode node) {
         ObjectNode events = node.putObject("events");
         for (Event e : Event.values()) {
             events.put(e.label(), counters.events(e));
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpRequestMessage.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.call.HeaderField;
 
 /**
- * A whole request.
+ * A complete HTTP request, held in memory.
  *
  * @param method the method
  * @param target the path and query
@@ -14,7 +14,7 @@
  * @param body the body, empty if there is none
  */
 public record HttpRequestMessage(String method, String target, List<HeaderField> fields, byte[] body) {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     /**
      * Creates a request without a body.
@@ -25,14 +25,14 @@
      * @return the request
      */
     public static HttpRequestMessage of(String method, String target, List<HeaderField> fields) {
-        return new HttpRequestMessage(method, target, fields, NOTHING);
+        return new HttpRequestMessage(method, target, fields, EMPTY_BODY);
     }
 
     /**
-     * Finds a header field.
+     * Finds a header field by its name.
      *
-     * @param name its name
-     * @return its first value
+     * @param name the name
+     * @return the first value, empty if there is no such field
      */
     public Optional<String> field(String name) {
         return HttpFields.find(fields, name);
--- a/node/src/main/java/org/verbenadyke/node/transport/EventLoops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/EventLoops.java
@@ -16,12 +16,12 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * The threads that serve connections, with the kinds of channels that run on them.
+ * The event loops that serve connections, with the channel types that they support.
  *
- * @param group the threads
- * @param serverChannelType the kind of listening sockets
- * @param socketChannelType the kind of connections
- * @param datagramChannelType the kind of datagram sockets
+ * @param group the event loops
+ * @param serverChannelType the channel type of listening sockets
+ * @param socketChannelType the channel type of connections
+ * @param datagramChannelType the channel type of datagram sockets
  */
 public record EventLoops(
         EventLoopGroup group,
@@ -29,23 +29,24 @@
         Class<? extends Channel> socketChannelType,
         Class<? extends Channel> datagramChannelType) {
     /**
-     * Starts threads of the Java platform's own selectors, which need no native library.
+     * Starts event loops on the Java platform's own selectors, which need no native library.
      *
-     * @param threads how many
-     * @return the threads
+     * @param threads the number of event loops
+     * @return the event loops
      */
     public static EventLoops nio(int threads) {
         return nio(threads, DefaultSelectStrategyFactory.INSTANCE);
     }
 
     /**
-     * Starts threads like {@link #nio}, which rest between two turns when they are busy; see {@link EventLoopPacing}.
+     * Starts event loops like {@link #nio} that rest between two iterations when they are busy; see
+     * {@link EventLoopPacing}.
      *
-     * @param threads how many
-     * @return the threads
+     * @param threads the number of event loops
+     * @return the event loops
      */
     public static EventLoops paced(int threads) {
-        return nio(threads, PacedSelect::create);
+        return nio(threads, PacedSelectStrategy::create);
     }
 
     private static EventLoops nio(int threads, SelectStrategyFactory select) {
