--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
@@ -11,11 +11,11 @@
     /** Weight of the newest answer: some tens of answers count, a second or two of one node's load. */
     private static final double SMOOTHING = 0.05;
 
-    private final Map<Kind, Double> typical = new ConcurrentHashMap<>();
+    private final Map<Kind, Double> smoothedNanos = new ConcurrentHashMap<>();
 
     private AnswerTimes() {}
 
-    static AnswerTimes unknown() {
+    static AnswerTimes empty() {
         return new AnswerTimes();
     }
 
@@ -25,8 +25,8 @@
      * @param kind what was asked for
      * @param nanos how long it took, in nanoseconds
      */
-    void note(Kind kind, long nanos) {
-        typical.merge(kind, (double) nanos, (seen, taken) -> seen + SMOOTHING * (taken - seen));
+    void record(Kind kind, long nanos) {
+        smoothedNanos.merge(kind, (double) nanos, (seen, taken) -> seen + SMOOTHING * (taken - seen));
     }
 
     /**
@@ -36,7 +36,7 @@
      * @return the time in nanoseconds, 0 when none was seen
      */
     long typicalNanos(Kind kind) {
-        return typical.getOrDefault(kind, 0.0).longValue();
+        return smoothedNanos.getOrDefault(kind, 0.0).longValue();
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -20,14 +20,14 @@
     private final Dispatch dispatch;
     private final Candidate candidate;
     private final long startNanos;
-    private final List<Message> held = new ArrayList<>();
+    private final List<Message> deferredMessages = new ArrayList<>();
     private volatile Link link;
-    private long sentTo;
-    private long sentClock;
+    private long targetIncarnation;
+    private long targetClock;
     private boolean headSeen;
-    private long received;
+    private long receivedBytes;
     private boolean concluded;
-    private boolean awaited;
+    private boolean countedOnLink;
 
     Attempt(CallId id, Dispatch dispatch, Candidate candidate, long startNanos) {
         this.id = id;
@@ -59,30 +59,30 @@
     void bind(Link newLink) {
         unbind();
         if (link == null) {
-            sentTo = newLink.peerIncarnation();
-            sentClock = newLink.peerClock();
+            targetIncarnation = newLink.peerIncarnation();
+            targetClock = newLink.peerClock();
         }
         newLink.awaiting(1);
-        awaited = true;
+        countedOnLink = true;
         this.link = newLink;
     }
 
     /** Stops waiting on the link, which stays known. */
     void unbind() {
-        if (link != null && awaited) {
+        if (link != null && countedOnLink) {
             link.awaiting(-1);
         }
-        awaited = false;
+        countedOnLink = false;
     }
 
     /** Returns the incarnation of the process that the attempt was sent to, whoever was asked about it later. */
-    long sentTo() {
-        return sentTo;
+    long targetIncarnation() {
+        return targetIncarnation;
     }
 
     /** Words the question what became of the attempt. */
     Message.Inquire inquiry() {
-        return new Message.Inquire(id, sentTo, sentClock);
+        return new Message.Inquire(id, targetIncarnation, targetClock);
     }
 
     boolean sent() {
@@ -93,7 +93,7 @@
         return headSeen;
     }
 
-    void sawHead() {
+    void markHeadSeen() {
         headSeen = true;
     }
 
@@ -106,20 +106,20 @@
         return concluded;
     }
 
-    long received() {
-        return received;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    void receive(int bytes) {
-        received += bytes;
+    void addReceivedBytes(int bytes) {
+        receivedBytes += bytes;
     }
 
-    List<Message> held() {
-        return held;
+    List<Message> deferredMessages() {
+        return deferredMessages;
     }
 
     /** Takes the report of the node beside the upstream. */
-    void learn(Request request, String pathClass, Message.Report report, long nowNanos) {
+    void applyReport(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
         request.observer().leadsTo(request.service());
         if (!report.below().service().isEmpty()) {
@@ -129,7 +129,7 @@
 
     /** Takes a refusal, which is the last word of the node beside the upstream. */
     void refused(Request request, String pathClass, Message.Refused refused, long nowNanos) {
-        learn(request, pathClass, refused.report(), nowNanos);
+        applyReport(request, pathClass, refused.report(), nowNanos);
         conclude();
         if (refused.refusal().reason() == RefusalReason.UPSTREAM_REFUSED) {
             candidate.shed(nowNanos);
@@ -147,13 +147,13 @@
      * Notes that the upstream ended. The node beside it notes the same end and may die with it; whichever is left tells
      * the others.
      */
-    void ended(Dispatcher.Parts parts, Request request) {
+    void upstreamCrashed(Dispatcher.Parts parts, Request request) {
         parts.quarantine().ended(request.content(), candidate.upstream().id());
-        failed(parts);
+        upstreamFailed(parts);
     }
 
     /** Notes that the upstream failed, which may take it out of the choice for a while. */
-    void failed(Dispatcher.Parts parts) {
+    void upstreamFailed(Dispatcher.Parts parts) {
         if (candidate.failed(parts.timers().nanos())) {
             parts.counters().count(Event.UPSTREAM_EJECTED);
             parts.decisions().note(new Decision.Ejected(candidate.upstream().id(), dispatch.requestId()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerReturns.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicy.java
@@ -11,18 +11,18 @@
  * answer can still come within the target latency, by how long answers of that kind take. With none seen yet, every
  * answer counts as quick. Safe for many threads.
  */
-final class CallerReturns {
+final class CallerRetryPolicy {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final AnswerTimes times = AnswerTimes.unknown();
+    private final AnswerTimes answerTimes = AnswerTimes.empty();
     private final Supplier<RandomGenerator> random;
 
-    private CallerReturns(Supplier<RandomGenerator> random) {
+    private CallerRetryPolicy(Supplier<RandomGenerator> random) {
         this.random = random;
     }
 
-    static CallerReturns with(Supplier<RandomGenerator> random) {
-        return new CallerReturns(random);
+    static CallerRetryPolicy with(Supplier<RandomGenerator> random) {
+        return new CallerRetryPolicy(random);
     }
 
     /**
@@ -31,9 +31,9 @@
      * @param request the request; a call inside a chain is none of a caller
      * @param nanos how long the answer took
      */
-    void answered(Request request, long nanos) {
+    void recordAnswer(Request request, long nanos) {
         if (request.depth() == 0) {
-            times.note(kind(request), nanos);
+            answerTimes.record(kind(request), nanos);
         }
     }
 
@@ -41,26 +41,26 @@
      * Tells whether a request goes before new ones, since its caller came back. One that will be late all the same goes
      * with the new ones: it would take a place from one of them that can be served in time.
      */
-    boolean favoured(Request request, long nowNanos) {
-        return request.returning() && spareNanos(request, nowNanos) >= 0;
+    boolean prioritized(Request request, long nowNanos) {
+        return request.returning() && slackNanos(request, nowNanos) >= 0;
     }
 
     /**
      * Words when the caller may come back. The time of a request that is held back stays: any sooner it would only be
      * refused again.
      */
-    Refusal timed(Request request, Refusal refusal, long nowNanos) {
+    Refusal withRetryAfter(Request request, Refusal refusal, long nowNanos) {
         boolean bidden = refusal.retryAfterMillis() > 0 && refusal.reason() != RefusalReason.QUARANTINED;
         if (request.depth() > 0 || !bidden) {
             return refusal;
         }
-        long spareMillis = spareNanos(request, nowNanos) / NANOS_PER_MILLI;
-        return refusal.comingBackAfter(ReturnTime.millis(refusal.retryAfterMillis(), spareMillis, random.get()));
+        long spareMillis = slackNanos(request, nowNanos) / NANOS_PER_MILLI;
+        return refusal.comingBackAfter(RetryDelay.millis(refusal.retryAfterMillis(), spareMillis, random.get()));
     }
 
     /** How long a request can still wait and be answered within its target latency; below 0 when it will be late. */
-    private long spareNanos(Request request, long nowNanos) {
-        return request.dueNanos() - nowNanos - times.typicalNanos(kind(request));
+    private long slackNanos(Request request, long nowNanos) {
+        return request.dueNanos() - nowNanos - answerTimes.typicalNanos(kind(request));
     }
 
     private static AnswerTimes.Kind kind(Request request) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -26,7 +26,7 @@
  * serial runner, so its fields need no other protection.
  */
 final class Dispatch implements CallHandle {
-    private static final int REROUTES_MOST = 3;
+    private static final int MAX_REROUTES = 3;
 
     private final Dispatcher dispatcher;
     private final Dispatcher.Parts parts;
@@ -36,12 +36,12 @@
     private final Serial serial = Serial.create();
     private final Set<String> tried = new HashSet<>();
     private Attempt current;
-    private boolean done;
+    private boolean finished;
     private boolean committed;
-    private boolean asking;
+    private boolean awaitingRetryDecision;
     private int reroutes;
-    private final OwedCredit credit = new OwedCredit();
-    private RunState fate = RunState.NOT_RUN;
+    private final CreditAccumulator credit = new CreditAccumulator();
+    private RunState runState = RunState.NOT_RUN;
     private Subscription deadline;
 
     Dispatch(Dispatcher dispatcher, Request request, AnswerSink sink) {
@@ -61,7 +61,7 @@
         serial.run(() -> {
             long left = request.deadlineNanos() - parts.timers().nanos();
             deadline = parts.timers().after(left, () -> serial.run(this::deadlinePassed));
-            next(current);
+            routeNext(current);
         });
     }
 
@@ -69,8 +69,8 @@
     public void credit(int bytes) {
         serial.run(() -> {
             credit.add(bytes);
-            if (!done) {
-                credit.pay(current);
+            if (!finished) {
+                credit.flush(current);
             }
         });
     }
@@ -78,50 +78,50 @@
     @Override
     public void cancel() {
         serial.run(() -> {
-            if (done) {
+            if (finished) {
                 return;
             }
-            parts.counters().refused(fate, RefusalReason.CANCELLED);
+            parts.counters().refused(runState, RefusalReason.CANCELLED);
             finish();
         });
     }
 
     void received(Attempt attempt, Link link, Message message) {
         serial.run(() -> {
-            if (done || attempt != current || attempt.link() != link) {
+            if (finished || attempt != current || attempt.link() != link) {
                 parts.counters().count(Event.MESSAGE_UNMATCHED);
                 return;
             }
-            take(attempt, message);
+            handle(attempt, message);
         });
     }
 
     void linkLost(Attempt attempt, Link link) {
         serial.run(() -> {
-            if (!done && attempt == current && attempt.link() == link && !attempt.concluded()) {
-                lost(attempt);
+            if (!finished && attempt == current && attempt.link() == link && !attempt.concluded()) {
+                handleLinkLoss(attempt);
             }
         });
     }
 
-    private void take(Attempt attempt, Message message) {
-        if (asking && !(message instanceof Message.Spend)) {
-            attempt.held().add(message);
+    private void handle(Attempt attempt, Message message) {
+        if (awaitingRetryDecision && !(message instanceof Message.Spend)) {
+            attempt.deferredMessages().add(message);
             return;
         }
         switch (message) {
-            case Message.Head m -> head(attempt, m);
-            case Message.Data m -> data(attempt, m);
-            case Message.End m -> end(attempt, m);
-            case Message.Refused m -> refused(attempt, m);
+            case Message.Head m -> onHead(attempt, m);
+            case Message.Data m -> onData(attempt, m);
+            case Message.End m -> onEnd(attempt, m);
+            case Message.Refused m -> onRefused(attempt, m);
             case Message.Spend m ->
                 request.budget().spend(granted -> attempt.link().send(new Message.Grant(m.id(), m.ticket(), granted)));
             default -> parts.counters().count(Event.MESSAGE_UNMATCHED);
         }
     }
 
-    private void next(Attempt after) {
-        if (done || after != current) {
+    private void routeNext(Attempt after) {
+        if (finished || after != current) {
             return;
         }
         RouteQuery query = new RouteQuery(
@@ -129,9 +129,9 @@
                 pathClass,
                 dispatcher.rank(request),
                 request.idempotent() ? "" : request.key(),
-                dispatcher.avoided(request, tried));
+                dispatcher.excludedUpstreams(request, tried));
         switch (parts.router().route(query, parts.timers().nanos())) {
-            case Choice.To to -> open(dispatcher.open(this, to.candidate()));
+            case Choice.To to -> openAttempt(dispatcher.open(this, to.candidate()));
             case Choice.Shed shed -> {
                 request.observer().leadsTo(request.service());
                 refuse(RefusalReason.SHED_EARLY);
@@ -140,21 +140,21 @@
         }
     }
 
-    private void open(Attempt attempt) {
+    private void openAttempt(Attempt attempt) {
         current = attempt;
         if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held held) {
-            give(parts.quarantine().refusal(request.id(), held));
+            finishRefused(parts.quarantine().refusal(request.id(), held));
             return;
         }
         parts.links().acquire(attempt.candidate().upstream().node(), link -> serial.run(() -> send(attempt, link)));
     }
 
     private void send(Attempt attempt, Optional<Link> link) {
-        if (done || attempt != current) {
+        if (finished || attempt != current) {
             return;
         }
         if (link.isEmpty()) {
-            attempt.failed(parts);
+            attempt.upstreamFailed(parts);
             reroute(attempt, RefusalReason.CONNECT_FAILED);
             return;
         }
@@ -165,73 +165,73 @@
         }
         attempt.bind(link.get());
         parts.ledger().attempted(request.id(), request.service(), attempt.id());
-        link.get().send(RetryRules.call(request, attempt, now));
+        link.get().send(RetryRules.buildCall(request, attempt, now));
         if (link.get().closed()) {
-            lost(attempt);
+            handleLinkLoss(attempt);
         }
         long patience = dispatcher.settings().tryNanos();
         if (patience > 0 && request.idempotent()) {
-            parts.timers().after(patience, () -> serial.run(() -> tryTimedOut(attempt)));
+            parts.timers().after(patience, () -> serial.run(() -> attemptTimedOut(attempt)));
         }
     }
 
-    private void tryTimedOut(Attempt attempt) {
-        if (!done && !committed && !asking && attempt == current) {
-            askRetry(RetryReason.TIMED_OUT, () -> {});
+    private void attemptTimedOut(Attempt attempt) {
+        if (!finished && !committed && !awaitingRetryDecision && attempt == current) {
+            requestRetry(RetryReason.TIMED_OUT, () -> {});
         }
     }
 
-    private void head(Attempt attempt, Message.Head m) {
+    private void onHead(Attempt attempt, Message.Head m) {
         if (attempt.headSeen()) {
             return;
         }
-        attempt.learn(request, pathClass, m.report(), parts.timers().nanos());
+        attempt.applyReport(request, pathClass, m.report(), parts.timers().nanos());
         long now = parts.timers().nanos();
-        if (!RetryRules.failed(m.status())) {
+        if (!RetryRules.isServerError(m.status())) {
             attempt.candidate().succeeded(now - attempt.startNanos());
-            dispatcher.ratio(request).succeeded();
-            dispatcher.returns().answered(request, now - attempt.startNanos());
+            dispatcher.retryRatio(request).succeeded();
+            dispatcher.callerRetryPolicy().recordAnswer(request, now - attempt.startNanos());
             commit(attempt, m);
             return;
         }
-        if (RetryRules.shed(m.status())) {
+        if (RetryRules.isShed(m.status())) {
             attempt.candidate().shed(now);
         } else if (!m.settled()) {
-            attempt.failed(parts);
+            attempt.upstreamFailed(parts);
         }
-        if (!RetryRules.retryable(request, m, dispatcher.settings().perHop())) {
+        if (!RetryRules.isRetryable(request, m, dispatcher.settings().perHop())) {
             request.observer().childFailed();
             commit(attempt, m);
             return;
         }
-        fate = RunState.MAY_HAVE_RUN;
-        askRetry(RetryRules.shed(m.status()) ? RetryReason.SHED : RetryReason.UPSTREAM_FAILED, () -> {
+        runState = RunState.MAY_HAVE_RUN;
+        requestRetry(RetryRules.isShed(m.status()) ? RetryReason.SHED : RetryReason.UPSTREAM_FAILED, () -> {
             request.observer().childFailed();
             commit(attempt, m);
         });
     }
 
     private void commit(Attempt attempt, Message.Head m) {
-        attempt.sawHead();
+        attempt.markHeadSeen();
         committed = true;
         deadline.cancel();
         sink.head(m.status(), m.headers());
-        List<Message> held = List.copyOf(attempt.held());
-        attempt.held().clear();
-        held.forEach(h -> take(attempt, h));
+        List<Message> held = List.copyOf(attempt.deferredMessages());
+        attempt.deferredMessages().clear();
+        held.forEach(h -> handle(attempt, h));
     }
 
-    private void data(Attempt attempt, Message.Data m) {
-        if (!attempt.headSeen() || m.offset() != attempt.received()) {
+    private void onData(Attempt attempt, Message.Data m) {
+        if (!attempt.headSeen() || m.offset() != attempt.receivedBytes()) {
             parts.counters().count(Event.MESSAGE_UNMATCHED);
             return;
         }
-        attempt.receive(m.bytes().length);
+        attempt.addReceivedBytes(m.bytes().length);
         sink.data(m.bytes());
     }
 
-    private void end(Attempt attempt, Message.End m) {
-        if (!attempt.headSeen() || m.length() != attempt.received()) {
+    private void onEnd(Attempt attempt, Message.End m) {
+        if (!attempt.headSeen() || m.length() != attempt.receivedBytes()) {
             abort(attempt);
             return;
         }
@@ -241,7 +241,7 @@
         finish();
     }
 
-    private void refused(Attempt attempt, Message.Refused m) {
+    private void onRefused(Attempt attempt, Message.Refused m) {
         attempt.refused(request, pathClass, m, parts.timers().nanos());
         Refusal refusal = m.refusal();
         if (committed) {
@@ -249,7 +249,7 @@
             return;
         }
         if (refusal.state() != RunState.NOT_RUN || !request.idempotent()) {
-            fate = refusal.state();
+            runState = refusal.state();
         }
         switch (refusal.reason()) {
             case DRAINING, STOPPING -> {
@@ -258,31 +258,31 @@
             }
             case SEALED, FENCED, KEY_NOT_OWNER, SHED_LEVEL -> reroute(attempt, refusal.reason());
             case UPSTREAM_UNREACHABLE -> {
-                attempt.failed(parts);
+                attempt.upstreamFailed(parts);
                 reroute(attempt, refusal.reason());
             }
-            case SHED_QUEUE, UPSTREAM_REFUSED -> askRetry(RetryReason.SHED, () -> give(refusal));
+            case SHED_QUEUE, UPSTREAM_REFUSED -> requestRetry(RetryReason.SHED, () -> finishRefused(refusal));
             case UPSTREAM_ENDED -> {
-                attempt.ended(parts, request);
+                attempt.upstreamCrashed(parts, request);
                 retryIfIdempotent(RetryReason.UPSTREAM_ENDED, refusal);
             }
             case UPSTREAM_BROKEN, CONNECTION_LOST -> {
-                attempt.failed(parts);
+                attempt.upstreamFailed(parts);
                 retryIfIdempotent(RetryReason.CONNECTION_LOST, refusal);
             }
-            default -> give(refusal);
+            default -> finishRefused(refusal);
         }
     }
 
     private void retryIfIdempotent(RetryReason reason, Refusal refusal) {
         if (request.idempotent()) {
-            askRetry(reason, () -> give(refusal));
+            requestRetry(reason, () -> finishRefused(refusal));
         } else {
-            give(refusal);
+            finishRefused(refusal);
         }
     }
 
-    private void lost(Attempt attempt) {
+    private void handleLinkLoss(Attempt attempt) {
         if (!request.idempotent()) {
             inquire(attempt);
             return;
@@ -291,66 +291,66 @@
             abort(attempt);
             return;
         }
-        fate = RunState.MAY_HAVE_RUN;
-        attempt.failed(parts);
-        if (asking) {
+        runState = RunState.MAY_HAVE_RUN;
+        attempt.upstreamFailed(parts);
+        if (awaitingRetryDecision) {
             return;
         }
         retryIfIdempotent(RetryReason.CONNECTION_LOST, Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST));
     }
 
     private void inquire(Attempt attempt) {
-        fate = RunState.MAY_HAVE_RUN;
-        Inquiry.ask(parts, attempt, serial, () -> !done && attempt == current, this::lost);
+        runState = RunState.MAY_HAVE_RUN;
+        Inquiry.start(parts, attempt, serial, () -> !finished && attempt == current, this::handleLinkLoss);
     }
 
     private void reroute(Attempt attempt, RefusalReason reason) {
-        if (reroutes >= REROUTES_MOST) {
+        if (reroutes >= MAX_REROUTES) {
             refuse(reason);
             return;
         }
         reroutes++;
         parts.counters().retried(RetryReason.REROUTED);
-        dispatcher.noteReroute(request, attempt, reason);
+        dispatcher.recordReroute(request, attempt, reason);
         abandon(attempt);
         if (reason == RefusalReason.KEY_NOT_OWNER) {
-            dispatcher.afterPause(serial, () -> next(null));
+            dispatcher.afterKeyOwnerChange(serial, () -> routeNext(null));
             return;
         }
-        next(current);
+        routeNext(current);
     }
 
-    private void askRetry(RetryReason reason, Runnable otherwise) {
-        asking = true;
-        RetryPermit.ask(dispatcher, request, reason, granted -> serial.run(() -> decided(granted, reason, otherwise)));
+    private void requestRetry(RetryReason reason, Runnable otherwise) {
+        awaitingRetryDecision = true;
+        RetryPermit.request(dispatcher, request, reason, granted -> serial.run(() -> onRetryDecision(granted, reason, otherwise)));
     }
 
-    private void decided(boolean granted, RetryReason reason, Runnable otherwise) {
-        asking = false;
-        if (done) {
+    private void onRetryDecision(boolean granted, RetryReason reason, Runnable otherwise) {
+        awaitingRetryDecision = false;
+        if (finished) {
             return;
         }
-        dispatcher.noteRetry(request, current, reason, granted);
+        dispatcher.recordRetry(request, current, reason, granted);
         if (granted) {
             parts.counters().retried(reason);
             Candidate same = current.candidate();
             abandon(current);
             if (reason == RetryReason.CONNECTION_LOST && same.accepting()) {
-                open(dispatcher.open(this, same));
+                openAttempt(dispatcher.open(this, same));
             } else {
-                next(current);
+                routeNext(current);
             }
             return;
         }
         otherwise.run();
-        if (!done && current.link().closed()) {
-            lost(current);
+        if (!finished && current.link().closed()) {
+            handleLinkLoss(current);
         }
     }
 
     private void abandon(Attempt attempt) {
         tried.add(attempt.candidate().upstream().id());
-        attempt.held().clear();
+        attempt.deferredMessages().clear();
         close(attempt);
         current = null;
     }
@@ -361,11 +361,11 @@
     }
 
     private void deadlinePassed() {
-        if (done || committed) {
+        if (finished || committed) {
             return;
         }
         if (current != null && current.sent() && !current.concluded()) {
-            fate = RunState.MAY_HAVE_RUN;
+            runState = RunState.MAY_HAVE_RUN;
         }
         refuse(RefusalReason.DEADLINE);
     }
@@ -378,19 +378,19 @@
     }
 
     private void refuse(RefusalReason reason) {
-        give(new Refusal(fate, reason, dispatcher.retryAfterMillis()));
+        finishRefused(new Refusal(runState, reason, dispatcher.retryAfterMillis()));
     }
 
-    private void give(Refusal refusal) {
-        Refusal told = fate == RunState.NOT_RUN ? refusal : refusal.knownAs(fate);
+    private void finishRefused(Refusal refusal) {
+        Refusal told = runState == RunState.NOT_RUN ? refusal : refusal.knownAs(runState);
         request.observer().childFailed();
         parts.counters().refused(told.state(), told.reason());
-        sink.refused(dispatcher.returns().timed(request, told, parts.timers().nanos()));
+        sink.refused(dispatcher.callerRetryPolicy().withRetryAfter(request, told, parts.timers().nanos()));
         finish();
     }
 
     private void finish() {
-        done = true;
+        finished = true;
         deadline.cancel();
         if (current != null) {
             close(current);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
@@ -21,7 +21,7 @@
         long retryAfterMillis) {
     private static final double DEFAULT_RATIO = 0.1;
     private static final int DEFAULT_BURST = 20;
-    private static final long BASELINE_TRY_NANOS = 500_000_000L;
+    private static final long BASELINE_ATTEMPT_TIMEOUT_NANOS = 500_000_000L;
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     /**
@@ -39,6 +39,6 @@
      * @return the settings
      */
     public static DispatchSettings baseline() {
-        return new DispatchSettings(0, 0, true, BASELINE_TRY_NANOS, false, false, DEFAULT_RETRY_AFTER_MILLIS);
+        return new DispatchSettings(0, 0, true, BASELINE_ATTEMPT_TIMEOUT_NANOS, false, false, DEFAULT_RETRY_AFTER_MILLIS);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -34,19 +34,19 @@
  */
 public final class Dispatcher {
     /** How long a call waits whose key has just changed its owner, in nanoseconds: some rounds between nodes. */
-    private static final long PAUSE_NANOS = 50_000_000L;
+    private static final long KEY_OWNER_CHANGE_PAUSE_NANOS = 50_000_000L;
 
     private final Parts parts;
     private final DispatchSettings settings;
     private final AtomicLong sequence = new AtomicLong();
     private final Map<CallId, Attempt> attempts = new ConcurrentHashMap<>();
-    private final Map<Pair, RatioBudget> ratios = new ConcurrentHashMap<>();
-    private final CallerReturns returns;
+    private final Map<Pair, RatioBudget> retryRatios = new ConcurrentHashMap<>();
+    private final CallerRetryPolicy callerRetryPolicy;
 
     private Dispatcher(Parts parts, DispatchSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.returns = CallerReturns.with(parts.random);
+        this.callerRetryPolicy = CallerRetryPolicy.with(parts.random);
     }
 
     /**
@@ -140,15 +140,15 @@
         if (exempt) {
             return Importance.RANKS;
         }
-        return request.importance().rank(request.id(), returns.favoured(request, parts.timers.nanos()));
+        return request.importance().rank(request.id(), callerRetryPolicy.prioritized(request, parts.timers.nanos()));
     }
 
-    CallerReturns returns() {
-        return returns;
+    CallerRetryPolicy callerRetryPolicy() {
+        return callerRetryPolicy;
     }
 
     /** Lists the upstreams that a request shall not go to: where it was tried, or all but the one that may try it. */
-    Set<String> avoided(Request request, Set<String> tried) {
+    Set<String> excludedUpstreams(Request request, Set<String> tried) {
         Optional<String> trial = parts.quarantine.trialUpstream(request.content(), request.service());
         if (trial.isEmpty()) {
             return tried;
@@ -163,22 +163,22 @@
         return RetryAfter.spread(settings.retryAfterMillis(), parts.random.get());
     }
 
-    void afterPause(Serial serial, Runnable step) {
-        parts.timers.after(PAUSE_NANOS, () -> serial.run(step));
+    void afterKeyOwnerChange(Serial serial, Runnable step) {
+        parts.timers.after(KEY_OWNER_CHANGE_PAUSE_NANOS, () -> serial.run(step));
     }
 
-    void noteRetry(Request request, Attempt attempt, RetryReason reason, boolean granted) {
+    void recordRetry(Request request, Attempt attempt, RetryReason reason, boolean granted) {
         String upstream = attempt.candidate().upstream().id();
         parts.decisions.note(new Decision.Retried(request.id(), request.service(), upstream, reason, granted));
     }
 
-    void noteReroute(Request request, Attempt attempt, RefusalReason reason) {
+    void recordReroute(Request request, Attempt attempt, RefusalReason reason) {
         String upstream = attempt.candidate().upstream().id();
         parts.decisions.note(new Decision.Rerouted(request.id(), request.service(), upstream, reason));
     }
 
-    RatioBudget ratio(Request request) {
-        return ratios.computeIfAbsent(
+    RatioBudget retryRatio(Request request) {
+        return retryRatios.computeIfAbsent(
                 new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.ratio(), settings.burst()));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -15,25 +15,25 @@
  * one that started after the attempt was sent, says that it may have run.
  */
 final class Inquiry {
-    private static final long PAUSE_NANOS = 50_000_000L;
+    private static final long RECONNECT_PAUSE_NANOS = 50_000_000L;
 
     private final Dispatcher.Parts parts;
     private final Attempt attempt;
     private final Serial serial;
-    private final BooleanSupplier wanted;
-    private final Consumer<Attempt> lost;
+    private final BooleanSupplier stillWanted;
+    private final Consumer<Attempt> onLinkLoss;
 
     private Inquiry(
             Dispatcher.Parts parts, Attempt attempt, Serial serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
         this.parts = parts;
         this.attempt = attempt;
         this.serial = serial;
-        this.wanted = wanted;
-        this.lost = lost;
+        this.stillWanted = wanted;
+        this.onLinkLoss = lost;
     }
 
     /** Asks, again and again until a link is had or nobody wants to know any more. */
-    static void ask(
+    static void start(
             Dispatcher.Parts parts, Attempt attempt, Serial serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
         parts.counters().count(Event.INQUIRED);
         new Inquiry(parts, attempt, serial, wanted, lost).connect();
@@ -44,11 +44,11 @@
     }
 
     private void send(Optional<Link> link) {
-        if (!wanted.getAsBoolean()) {
+        if (!stillWanted.getAsBoolean()) {
             return;
         }
         if (link.isEmpty()) {
-            parts.timers().after(PAUSE_NANOS, () -> serial.run(this::again));
+            parts.timers().after(RECONNECT_PAUSE_NANOS, () -> serial.run(this::retryConnect));
             return;
         }
         attempt.bind(link.get());
@@ -57,16 +57,16 @@
                         attempt.dispatch().requestId(),
                         attempt.id(),
                         attempt.candidate().upstream().id(),
-                        attempt.sentTo(),
+                        attempt.targetIncarnation(),
                         link.get().peerIncarnation()));
         link.get().send(attempt.inquiry());
         if (link.get().closed()) {
-            lost.accept(attempt);
+            onLinkLoss.accept(attempt);
         }
     }
 
-    private void again() {
-        if (wanted.getAsBoolean()) {
+    private void retryConnect() {
+        if (stillWanted.getAsBoolean()) {
             connect();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryAfter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryAfter.java
@@ -6,7 +6,7 @@
  * Spreads the times at which refused callers come back.
  */
 public final class RetryAfter {
-    private static final int SPREAD = 3;
+    private static final int MAX_FACTOR = 3;
 
     private RetryAfter() {}
 
@@ -21,6 +21,6 @@
         if (leastMillis <= 0) {
             return 0;
         }
-        return leastMillis + random.nextLong(leastMillis * (SPREAD - 1) + 1);
+        return leastMillis + random.nextLong(leastMillis * (MAX_FACTOR - 1) + 1);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/ReturnTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryDelay.java
@@ -10,11 +10,11 @@
  * time. So the pause ends while the answer can still come in time. A caller that has no such time left, or one so short
  * that it would only be refused again at once, is told the usual pause.
  */
-final class ReturnTime {
+final class RetryDelay {
     /** The shortest time in which a load can have changed: some windows of the admission level, in milliseconds. */
-    private static final long LEAST_MILLIS = 100;
+    private static final long MIN_MILLIS = 100;
 
-    private ReturnTime() {}
+    private RetryDelay() {}
 
     /**
      * Chooses a time.
@@ -25,10 +25,10 @@
      * @return the pause in milliseconds, spread so that callers don't come back together
      */
     static long millis(long usualMillis, long spareMillis, RandomGenerator random) {
-        if (spareMillis < LEAST_MILLIS || usualMillis <= spareMillis) {
+        if (spareMillis < MIN_MILLIS || usualMillis <= spareMillis) {
             return usualMillis;
         }
-        long least = Math.max(LEAST_MILLIS, spareMillis / 2);
+        long least = Math.max(MIN_MILLIS, spareMillis / 2);
         return least + random.nextLong(spareMillis - least + 1);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
@@ -16,8 +16,8 @@
      * and no more is sent again than was in flight, so that only the chain's budget bounds it, unless the settings
      * count every retry.
      */
-    static void ask(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> decision) {
-        RatioBudget ratio = dispatcher.ratio(request);
+    static void request(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> decision) {
+        RatioBudget ratio = dispatcher.retryRatio(request);
         boolean lost = reason == RetryReason.CONNECTION_LOST || reason == RetryReason.UPSTREAM_ENDED;
         boolean counted = dispatcher.settings().everyRetryCounts() || !lost;
         boolean bounded = dispatcher.settings().ratio() > 0 && counted;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
@@ -6,23 +6,23 @@
  * Decides which failures may be tried again, and words the call that tries.
  */
 final class RetryRules {
-    private static final long MARGIN_MOST_NANOS = 10_000_000L;
-    private static final int MARGIN_SHARE = 20;
+    private static final long MAX_MARGIN_NANOS = 10_000_000L;
+    private static final int MARGIN_DIVISOR = 20;
     private static final long NANOS_PER_MICRO = 1_000L;
-    private static final int FAILED = 500;
+    private static final int SERVER_ERROR = 500;
     private static final int NOT_IMPLEMENTED = 501;
     private static final int UNAVAILABLE = 503;
-    private static final int FAILED_MOST = 504;
+    private static final int MAX_RETRYABLE_STATUS = 504;
 
     private RetryRules() {}
 
     /** Tells whether a status says that the upstream failed. */
-    static boolean failed(int status) {
-        return status >= FAILED;
+    static boolean isServerError(int status) {
+        return status >= SERVER_ERROR;
     }
 
     /** Tells whether a status says that the upstream had no room. */
-    static boolean shed(int status) {
+    static boolean isShed(int status) {
         return status == UNAVAILABLE;
     }
 
@@ -30,18 +30,18 @@
      * Tells whether another attempt may mend a failed answer. An answer that settled a failure from further below is
      * final; only the hop right above a failure retries it.
      */
-    static boolean retryable(Request request, Message.Head head, boolean perHop) {
+    static boolean isRetryable(Request request, Message.Head head, boolean perHop) {
         boolean settled = head.settled() && !perHop;
-        return request.idempotent() && !settled && head.status() != NOT_IMPLEMENTED && head.status() <= FAILED_MOST;
+        return request.idempotent() && !settled && head.status() != NOT_IMPLEMENTED && head.status() <= MAX_RETRYABLE_STATUS;
     }
 
     /**
      * Words the call. Its time to live ends a little before the sender's deadline, so that the refusal at its end comes
      * from the node that knows whether the call ran.
      */
-    static Message.Call call(Request request, Attempt attempt, long nowNanos) {
+    static Message.Call buildCall(Request request, Attempt attempt, long nowNanos) {
         long leftNanos = request.deadlineNanos() - nowNanos;
-        long margin = Math.min(MARGIN_MOST_NANOS, leftNanos / MARGIN_SHARE);
+        long margin = Math.min(MAX_MARGIN_NANOS, leftNanos / MARGIN_DIVISOR);
         return new Message.Call(
                 attempt.id(),
                 request.id(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/AnswerTimesTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/AnswerTimesTest.java
@@ -10,7 +10,7 @@
     private static final AnswerTimes.Kind LONG = new AnswerTimes.Kind("s", "GET /long");
     private static final AnswerTimes.Kind SHORT = new AnswerTimes.Kind("s", "GET /short");
 
-    private final AnswerTimes times = AnswerTimes.unknown();
+    private final AnswerTimes times = AnswerTimes.empty();
 
     @Test
     void knowsNothingAtFirst() {
@@ -19,17 +19,17 @@
 
     @Test
     void keepsKindsApart() {
-        times.note(LONG, 240);
-        times.note(SHORT, 15);
+        times.record(LONG, 240);
+        times.record(SHORT, 15);
         assertEquals(240, times.typicalNanos(LONG));
         assertEquals(15, times.typicalNanos(SHORT));
     }
 
     @Test
     void followsASlowerServiceWithinSomeTensOfAnswers() {
-        times.note(LONG, 100_000);
+        times.record(LONG, 100_000);
         for (int i = 0; i < 60; i++) {
-            times.note(LONG, 200_000);
+            times.record(LONG, 200_000);
         }
         assertTrue(times.typicalNanos(LONG) > 190_000, "typical " + times.typicalNanos(LONG));
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerReturnsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicyTest.java
@@ -15,55 +15,55 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link CallerReturns}. */
-final class CallerReturnsTest {
+/** Tests {@link CallerRetryPolicy}. */
+final class CallerRetryPolicyTest {
     private static final long MILLI = 1_000_000L;
     private static final Refusal REFUSAL = Refusal.notRun(RefusalReason.SHED_EARLY, 800);
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final CallerReturns returns = CallerReturns.with(() -> random);
+    private final CallerRetryPolicy policy = CallerRetryPolicy.with(() -> random);
 
     @Test
-    void favoursACallerThatCanStillBeAnsweredInTime() {
-        returns.answered(request(0, 600, false), 240 * MILLI);
-        assertTrue(returns.favoured(request(0, 300, true), 0));
-        assertFalse(returns.favoured(request(0, 200, true), 0));
+    void prioritizesACallerThatCanStillBeAnsweredInTime() {
+        policy.recordAnswer(request(0, 600, false), 240 * MILLI);
+        assertTrue(policy.prioritized(request(0, 300, true), 0));
+        assertFalse(policy.prioritized(request(0, 200, true), 0));
     }
 
     @Test
-    void favoursNoCallerThatIsNew() {
-        assertFalse(returns.favoured(request(0, 600, false), 0));
+    void prioritizesNoNewCaller() {
+        assertFalse(policy.prioritized(request(0, 600, false), 0));
     }
 
     @Test
-    void countsAnAnswerAsQuickWhenNoneWasSeen() {
-        assertTrue(returns.favoured(request(0, 10, true), 0));
+    void assumesAQuickAnswerWhenNoneWasSeen() {
+        assertTrue(policy.prioritized(request(0, 10, true), 0));
     }
 
     @Test
-    void asksACallerBackWhileItCanBeAnsweredInTime() {
-        returns.answered(request(0, 600, false), 240 * MILLI);
-        long millis = returns.timed(request(0, 600, false), REFUSAL, 0).retryAfterMillis();
+    void setsARetryAfterWithinTheTargetLatency() {
+        policy.recordAnswer(request(0, 600, false), 240 * MILLI);
+        long millis = policy.withRetryAfter(request(0, 600, false), REFUSAL, 0).retryAfterMillis();
         assertTrue(millis >= 180 && millis <= 360, "comes back after " + millis);
     }
 
     @Test
-    void leavesTheTimeOfARequestThatIsHeldBack() {
+    void keepsTheRetryAfterOfAQuarantinedRequest() {
         Refusal held = Refusal.notRun(RefusalReason.QUARANTINED, 800);
-        assertEquals(held, returns.timed(request(0, 600, false), held, 0));
+        assertEquals(held, policy.withRetryAfter(request(0, 600, false), held, 0));
     }
 
     @Test
-    void leavesARefusalWithoutATime() {
+    void addsNoRetryAfterToARefusalWithoutOne() {
         Refusal over = Refusal.mayHaveRun(RefusalReason.DEADLINE);
-        assertEquals(over, returns.timed(request(0, 600, false), over, 0));
+        assertEquals(over, policy.withRetryAfter(request(0, 600, false), over, 0));
     }
 
     @Test
-    void learnsNothingFromCallsInsideAChain() {
-        returns.answered(request(1, 600, false), 900 * MILLI);
-        assertTrue(returns.favoured(request(0, 300, true), 0));
-        assertEquals(REFUSAL, returns.timed(request(1, 600, false), REFUSAL, 0));
+    void ignoresCallsInsideAChain() {
+        policy.recordAnswer(request(1, 600, false), 900 * MILLI);
+        assertTrue(policy.prioritized(request(0, 300, true), 0));
+        assertEquals(REFUSAL, policy.withRetryAfter(request(1, 600, false), REFUSAL, 0));
     }
 
     private static Request request(int depth, long dueMillis, boolean returning) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void passesASettledFailureUp() {
+    void passesOnAFailureWhoseRetriesAreExhausted() {
         send(true, 5);
         CallId id = calls().getFirst().id();
         dispatcher.received(link, new Message.Head(id, 502, List.of(), true, CALM));
@@ -126,14 +126,14 @@
     }
 
     @Test
-    void neverRetriesWhatMayRunOnlyOnce() {
+    void neverRetriesANonIdempotentCall() {
         send(false, 5);
         answer(0, 500, "");
         assertEquals(1, calls().size());
     }
 
     @Test
-    void sendsElsewhereWhatALeavingUpstreamRefused() {
+    void reroutesACallThatADrainingUpstreamRefused() {
         send(false, 0);
         refuse(0, RunState.NOT_RUN, RefusalReason.DRAINING);
         assertEquals(2, calls().size());
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void asksOverANewConnectionWhatBecameOfAFiling() {
+    void inquiresOverANewConnectionAboutANonIdempotentCall() {
         send(false, 2);
         RecordingLink silent = link;
         renewLink();
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void givesTheFinalAnswerAtTheDeadlineAndSaysWhenToComeBack() {
+    void refusesAtTheDeadlineWithARetryAfter() {
         send(true, 2);
         clock.advance(1_000 * MILLI - 1);
         assertEquals(List.of(), got);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void givesUpAtOnceWhenThePathBelowShedsThisRank() {
+    void refusesAtOnceWhenTheCalledPathShedsTheRank() {
         send(true, 2);
         Message.Report full =
                 new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.Below.NOTHING);
@@ -193,7 +193,7 @@
 
     /** It never came to the upstream, so that it is no retry; another one may have room for its rank. */
     @Test
-    void goesToAnotherUpstreamWhenTheLevelOfOneRefusesIt() {
+    void reroutesACallThatAnAdmissionLevelRefused() {
         send(false, 0);
         String first = calls().getFirst().target().upstream();
         Message.Report full =
