--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
@@ -11,13 +11,13 @@
  */
 public final class AdaptiveLimit implements ConcurrencyLimit {
     private static final long WINDOW_NANOS = 100_000_000L;
-    private static final int WINDOW_LEAST_CALLS = 8;
+    private static final int MIN_WINDOW_CALLS = 8;
     private static final double GROWTH = 1.25;
     private static final double SHED_DECREASE = 0.92;
     private static final double PLATEAU_DECREASE = 0.85;
     private static final double SATURATION = 0.8;
-    private static final double LEAST_GAIN = 0.25;
-    private static final double SETTLED_STEP = 1.0;
+    private static final double MIN_GAIN = 0.25;
+    private static final double MIN_SETTLED_STEP = 1.0;
     private static final int HOLD_WINDOWS = 10;
     private static final double SMOOTHING = 0.3;
 
@@ -64,7 +64,7 @@
             return s.with(clamp(inFlight * SHED_DECREASE), false, HOLD_WINDOWS, Window.startingAt(now));
         }
         if (!w.full(now)) {
-            return s.with(s.limit, s.starting, s.hold, w);
+            return s.with(s.limit, s.rampingUp, s.holdWindows, w);
         }
         return closeWindow(s, w, now);
     }
@@ -72,26 +72,26 @@
     private State closeWindow(State s, Window w, long now) {
         double throughput = w.throughput(now);
         if (w.peak < s.limit * SATURATION) {
-            return s.with(s.limit, s.starting, Math.max(0, s.hold - 1), Window.startingAt(now));
+            return s.with(s.limit, s.rampingUp, Math.max(0, s.holdWindows - 1), Window.startingAt(now));
         }
-        if (s.hold > 0) {
-            return s.settled(s.limit, throughput, w.latency(), s.hold - 1, now);
+        if (s.holdWindows > 0) {
+            return s.settled(s.limit, throughput, w.latency(), s.holdWindows - 1, now);
         }
-        if (grewInVain(s, throughput, w.latency())) {
+        if (growthRaisedOnlyLatency(s, throughput, w.latency())) {
             return s.settled(clamp(s.limit * PLATEAU_DECREASE), throughput, w.latency(), HOLD_WINDOWS, now);
         }
-        double grown = s.starting ? s.limit * GROWTH : s.limit + Math.max(SETTLED_STEP, s.limit * (GROWTH - 1) / 2);
-        return new State(clamp(grown), s.starting, 0, s.limit, throughput, w.latency(), Window.startingAt(now));
+        double grown = s.rampingUp ? s.limit * GROWTH : s.limit + Math.max(MIN_SETTLED_STEP, s.limit * (GROWTH - 1) / 2);
+        return new State(clamp(grown), s.rampingUp, 0, s.limit, throughput, w.latency(), Window.startingAt(now));
     }
 
-    private boolean grewInVain(State s, double throughput, double latency) {
+    private boolean growthRaisedOnlyLatency(State s, double throughput, double latency) {
         if (s.previousLimit <= 0 || s.limit <= s.previousLimit || s.previousThroughput <= 0) {
             return false;
         }
         double limitGain = s.limit / s.previousLimit - 1;
         double throughputGain = throughput / s.previousThroughput - 1;
         double latencyGain = latency / s.previousLatency - 1;
-        return throughputGain < limitGain * LEAST_GAIN && latencyGain > limitGain * LEAST_GAIN;
+        return throughputGain < limitGain * MIN_GAIN && latencyGain > limitGain * MIN_GAIN;
     }
 
     private double clamp(double limit) {
@@ -102,8 +102,8 @@
      * The state between two changes.
      *
      * @param limit the limit in force
-     * @param starting whether the first ceiling was not met yet
-     * @param hold windows to wait before growing again
+     * @param rampingUp whether the first ceiling was not met yet
+     * @param holdWindows windows to wait before growing again
      * @param previousLimit the limit before the last growth, 0 if none
      * @param previousThroughput calls per second at that limit
      * @param previousLatency mean latency at that limit, in nanoseconds
@@ -111,8 +111,8 @@
      */
     private record State(
             double limit,
-            boolean starting,
-            int hold,
+            boolean rampingUp,
+            int holdWindows,
             double previousLimit,
             double previousThroughput,
             double previousLatency,
@@ -148,7 +148,7 @@
         }
 
         boolean full(long now) {
-            return calls >= WINDOW_LEAST_CALLS && now - start >= WINDOW_NANOS;
+            return calls >= MIN_WINDOW_CALLS && now - start >= WINDOW_NANOS;
         }
 
         double throughput(long now) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
@@ -17,12 +17,12 @@
     private static final double OVERLOADED_SHARE = 0.95;
     private static final int FIRST_STEP = 16;
     private static final int STEP_GROWTH = 2;
-    private static final int LEAST_ARRIVALS = 4;
-    private static final int RISE_MOST = 256;
+    private static final int MIN_ARRIVALS = 4;
+    private static final int MAX_RISE = 256;
 
     private final AtomicIntegerArray arrivals = new AtomicIntegerArray(Importance.RANKS);
     private final LongAdder finished = new LongAdder();
-    private final LongAdder overload = new LongAdder();
+    private final LongAdder overloads = new LongAdder();
     private volatile int level;
     private int step = FIRST_STEP;
 
@@ -55,7 +55,7 @@
 
     @Override
     public void overloaded() {
-        overload.increment();
+        overloads.increment();
     }
 
     @Override
@@ -67,8 +67,8 @@
             total += seen[i];
         }
         long done = finished.sumThenReset();
-        boolean over = overload.sumThenReset() > 0;
-        if (over && total >= LEAST_ARRIVALS) {
+        boolean over = overloads.sumThenReset() > 0;
+        if (over && total >= MIN_ARRIVALS) {
             raise(seen, Math.max(1, (long) (done * OVERLOADED_SHARE)));
             return;
         }
@@ -86,7 +86,7 @@
             admitted += seen[rank];
         }
         if (rank > level) {
-            level = Math.min(rank, level + RISE_MOST);
+            level = Math.min(rank, level + MAX_RISE);
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
@@ -11,36 +11,36 @@
  */
 public final class AdmissionQueue {
     /** The more important first, then the one with more work done above it. */
-    private static final Comparator<Entry> WORTH = Comparator.<Entry>comparingInt(
+    private static final Comparator<Entry> BY_IMPORTANCE_AND_DEPTH = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
             .thenComparingInt(e -> -e.call().depth());
 
-    private static final Comparator<Entry> ORDER = WORTH.thenComparingLong(Entry::order);
+    private static final Comparator<Entry> IMPORTANCE_ORDER = BY_IMPORTANCE_AND_DEPTH.thenComparingLong(Entry::arrival);
 
     /**
      * Which call is given up last. Load pattern: more calls than fit, several of each request, and a request is lost
      * with any of them. A rank is the same for all calls of a request, at every upstream, so that the same requests
      * lose their calls everywhere and the others keep all of theirs.
      */
-    private static final Comparator<Entry> KEPT_FIRST =
-            WORTH.thenComparingInt(e -> -e.rank()).thenComparingLong(Entry::order);
+    private static final Comparator<Entry> RETENTION_ORDER =
+            BY_IMPORTANCE_AND_DEPTH.thenComparingInt(e -> -e.rank()).thenComparingLong(Entry::arrival);
 
     /**
      * Within an importance the one due first. Load pattern: more calls than fit, before the entry refuses enough. Calls
      * that matter most would else wait behind all others and miss their deadlines with them.
      */
-    private static final Comparator<Entry> BY_DUE = Comparator.<Entry>comparingInt(
+    private static final Comparator<Entry> DUE_ORDER = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
             .thenComparingLong(e -> e.call().dueNanos())
-            .thenComparingLong(Entry::order);
+            .thenComparingLong(Entry::arrival);
 
-    private final ConcurrentSkipListSet<Entry> entries;
-    private final ConcurrentSkipListSet<Entry> byRank = new ConcurrentSkipListSet<>(KEPT_FIRST);
+    private final ConcurrentSkipListSet<Entry> inServiceOrder;
+    private final ConcurrentSkipListSet<Entry> inRetentionOrder = new ConcurrentSkipListSet<>(RETENTION_ORDER);
     private final AtomicInteger size = new AtomicInteger();
-    private final AtomicLong orders = new AtomicLong();
+    private final AtomicLong arrivalNumbers = new AtomicLong();
 
     private AdmissionQueue(QueueOrder order) {
-        this.entries = new ConcurrentSkipListSet<>(order == QueueOrder.DUE ? BY_DUE : ORDER);
+        this.inServiceOrder = new ConcurrentSkipListSet<>(order == QueueOrder.DUE ? DUE_ORDER : IMPORTANCE_ORDER);
     }
 
     /**
@@ -60,9 +60,9 @@
      * @param nowNanos the time
      */
     public void add(Waiting call, long nowNanos) {
-        Entry entry = new Entry(call, call.rank(), orders.getAndIncrement(), nowNanos);
-        byRank.add(entry);
-        entries.add(entry);
+        Entry entry = new Entry(call, call.rank(), arrivalNumbers.getAndIncrement(), nowNanos);
+        inRetentionOrder.add(entry);
+        inServiceOrder.add(entry);
         size.incrementAndGet();
     }
 
@@ -71,12 +71,12 @@
      *
      * @return the call, if any waits
      */
-    public Optional<Entry> pollFirst() {
-        Entry entry = entries.pollFirst();
+    public Optional<Entry> pollNext() {
+        Entry entry = inServiceOrder.pollFirst();
         if (entry != null) {
-            byRank.remove(entry);
+            inRetentionOrder.remove(entry);
         }
-        return taken(entry);
+        return countRemoved(entry);
     }
 
     /**
@@ -84,10 +84,10 @@
      *
      * @return the call, if any waits
      */
-    public Optional<Entry> pollLast() {
-        for (Entry entry = byRank.pollLast(); entry != null; entry = byRank.pollLast()) {
-            if (entries.remove(entry)) {
-                return taken(entry);
+    public Optional<Entry> pollToShed() {
+        for (Entry entry = inRetentionOrder.pollLast(); entry != null; entry = inRetentionOrder.pollLast()) {
+            if (inServiceOrder.remove(entry)) {
+                return countRemoved(entry);
             }
         }
         return Optional.empty();
@@ -100,9 +100,9 @@
      * @return whether it still waited
      */
     public boolean remove(Waiting call) {
-        for (Entry entry : entries) {
-            if (entry.call() == call && entries.remove(entry)) {
-                byRank.remove(entry);
+        for (Entry entry : inServiceOrder) {
+            if (entry.call() == call && inServiceOrder.remove(entry)) {
+                inRetentionOrder.remove(entry);
                 size.decrementAndGet();
                 return true;
             }
@@ -119,7 +119,7 @@
         return size.get();
     }
 
-    private Optional<Entry> taken(Entry entry) {
+    private Optional<Entry> countRemoved(Entry entry) {
         if (entry != null) {
             size.decrementAndGet();
         }
@@ -131,8 +131,8 @@
      *
      * @param call the call
      * @param rank its rank, worked out once
-     * @param order its place among equals
-     * @param since when it began to wait, in nanoseconds
+     * @param arrival its place among equals
+     * @param sinceNanos when it began to wait, in nanoseconds
      */
-    public record Entry(Waiting call, int rank, long order, long since) {}
+    public record Entry(Waiting call, int rank, long arrival, long sinceNanos) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
@@ -16,8 +16,8 @@
     private final AdmissionQueue queue;
     private final AtomicInteger inFlight = new AtomicInteger();
     private final ServiceTime serviceTime = ServiceTime.unknown();
-    private final HoldTime holdTime = HoldTime.unknown();
-    private final HoldTime directHoldTime = HoldTime.unknown();
+    private final SlotHoldTime holdTime = SlotHoldTime.unknown();
+    private final SlotHoldTime directHoldTime = SlotHoldTime.unknown();
 
     private Gate(GateSettings settings, ConcurrencyLimit limit) {
         this.settings = settings;
@@ -46,7 +46,7 @@
     public void offer(Waiting call, long nowNanos) {
         if (!settings.sheds()) {
             queue.add(call, nowNanos);
-            drain(nowNanos);
+            admitQueued(nowNanos);
             return;
         }
         if (!level.arrive(call.rank(), call.depth())) {
@@ -58,11 +58,11 @@
             return;
         }
         queue.add(call, nowNanos);
-        if (queue.size() > settings.queueMost(limit.current(), serviceTime.least())) {
+        if (queue.size() > settings.maxQueueLength(limit.current(), serviceTime.minNanos())) {
             level.overloaded();
-            queue.pollLast().ifPresent(e -> e.call().shed(RefusalReason.SHED_QUEUE));
+            queue.pollToShed().ifPresent(e -> e.call().shed(RefusalReason.SHED_QUEUE));
         }
-        drain(nowNanos);
+        admitQueued(nowNanos);
     }
 
     /**
@@ -99,12 +99,12 @@
             case IGNORED -> level.finished();
             default -> throw new IllegalStateException(outcome.name());
         }
-        drain(nowNanos);
+        admitQueued(nowNanos);
     }
 
     /** Refuses all that wait, as the upstream is leaving. */
     public void flush() {
-        for (Optional<AdmissionQueue.Entry> e = queue.pollFirst(); e.isPresent(); e = queue.pollFirst()) {
+        for (Optional<AdmissionQueue.Entry> e = queue.pollNext(); e.isPresent(); e = queue.pollNext()) {
             e.get().call().shed(RefusalReason.DRAINING);
         }
     }
@@ -171,9 +171,9 @@
         return false;
     }
 
-    private void drain(long nowNanos) {
+    private void admitQueued(long nowNanos) {
         while (queue.size() > 0 && tryAcquire()) {
-            Optional<AdmissionQueue.Entry> first = queue.pollFirst();
+            Optional<AdmissionQueue.Entry> first = queue.pollNext();
             if (first.isEmpty()) {
                 inFlight.decrementAndGet();
                 return;
@@ -188,10 +188,10 @@
             call.admitted();
             return;
         }
-        if (nowNanos - entry.since() > settings.targetWaitNanos()) {
+        if (nowNanos - entry.sinceNanos() > settings.targetWaitNanos()) {
             level.overloaded();
         }
-        if (nowNanos + serviceTime.least() > call.deadlineNanos()) {
+        if (nowNanos + serviceTime.minNanos() > call.deadlineNanos()) {
             inFlight.decrementAndGet();
             call.shed(RefusalReason.DEADLINE);
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
@@ -26,42 +26,42 @@
     static final int PERIOD_WINDOWS = 6;
 
     /** The load aimed at: some room is left for the chance of arrivals within a period. */
-    private static final double TARGET = 0.97;
+    private static final double TARGET_LOAD = 0.97;
 
-    /** Loads up to here and down to {@link #LOW} change nothing, so that the level rests between two loads. */
-    private static final double HIGH = 1.0;
+    /** Loads up to here and down to {@link #LOW_LOAD} change nothing, so that the level rests between two loads. */
+    private static final double HIGH_LOAD = 1.0;
 
-    private static final double LOW = 0.94;
+    private static final double LOW_LOAD = 0.94;
 
     /** The most that a period lets in less, as a share of what it let in before. */
-    private static final double SHRINK_MOST = 0.5;
+    private static final double MIN_SHRINK_FACTOR = 0.5;
 
     /**
      * The most that a period lets in more. Load pattern: clumps well above a mean that fits. What a clump made the
      * level refuse must be let in again before the next one, or the places of the calm between them stay empty; and no
      * faster than that a return is caught before the queue is full.
      */
-    private static final double GROW_MOST = 1.25;
+    private static final double MAX_GROWTH_FACTOR = 1.25;
 
     /** Below this share, a band counts as shut and the next one is begun. */
-    private static final double SHUT = 0.03;
+    private static final double CLOSED_SHARE = 0.03;
 
     /**
      * The share of the arrivals up to which a band counts as having nothing more to give. Above it, calls of requests
      * let in earlier still come, or other entries have not heard yet; more important requests must not pay for that.
      */
-    private static final double NOTHING_LEFT = 0.03;
+    private static final double EXHAUSTED_SHARE = 0.03;
 
     /** The power of the correction: less than 1, since a change takes about two periods to show in full. */
-    private static final double POWER = 0.75;
+    private static final double CORRECTION_EXPONENT = 0.75;
 
     /** The bands that may be refused: all but the most important. */
-    private static final int BANDS = Importance.values().length - 1;
+    private static final int REFUSABLE_BANDS = Importance.values().length - 1;
 
     private final AtomicLongArray arrivals = new AtomicLongArray(Importance.values().length);
     private int windows;
     private int band;
-    private double letIn = 1;
+    private double admittedShare = 1;
     private volatile int level;
     private volatile int direct;
 
@@ -91,7 +91,7 @@
         if (depth == 0 && rank < direct) {
             return false;
         }
-        arrivals.incrementAndGet(Math.min(rank / RequestId.BUCKETS, BANDS));
+        arrivals.incrementAndGet(Math.min(rank / RequestId.BUCKETS, REFUSABLE_BANDS));
         return true;
     }
 
@@ -117,7 +117,7 @@
         for (int i = 0; i < arrivals.length(); i++) {
             arrived += arrivals.getAndSet(i, 0);
         }
-        double offered = (arrived + load.queued()) * (double) load.serviceNanos();
+        double offered = (arrived + load.queued()) * (double) load.holdNanos();
         double able = (double) load.limit() * PERIOD_WINDOWS * AdmissionLevel.WINDOW_NANOS;
         adjust(offered / able, (double) inBand / Math.max(1, arrived));
         direct = (int) Math.round(level * directShare(load));
@@ -128,51 +128,51 @@
      * since a request of a chain makes several calls here.
      */
     private static double directShare(GateLoad load) {
-        boolean known = load.directNanos() > 0 && load.serviceNanos() > 0;
+        boolean known = load.directHoldNanos() > 0 && load.holdNanos() > 0;
         if (!known) {
             return 1;
         }
-        double room = (double) load.directNanos() / load.serviceNanos();
+        double room = (double) load.directHoldNanos() / load.holdNanos();
         return Math.min(1, room * room);
     }
 
     private void adjust(double load, double arrivedInBand) {
-        if (load > HIGH) {
-            letIn *= Math.max(SHRINK_MOST, Math.pow(TARGET / load, POWER));
-            if (letIn < SHUT) {
-                shut(arrivedInBand);
+        if (load > HIGH_LOAD) {
+            admittedShare *= Math.max(MIN_SHRINK_FACTOR, Math.pow(TARGET_LOAD / load, CORRECTION_EXPONENT));
+            if (admittedShare < CLOSED_SHARE) {
+                closeBand(arrivedInBand);
             }
-        } else if (load < LOW && level > 0) {
-            letIn *= load <= 0 ? GROW_MOST : Math.min(GROW_MOST, TARGET / load);
-            if (letIn >= 1) {
+        } else if (load < LOW_LOAD && level > 0) {
+            admittedShare *= load <= 0 ? MAX_GROWTH_FACTOR : Math.min(MAX_GROWTH_FACTOR, TARGET_LOAD / load);
+            if (admittedShare >= 1) {
                 previousBand();
             }
         }
-        level = (int) Math.round((band + 1 - letIn) * RequestId.BUCKETS);
+        level = (int) Math.round((band + 1 - admittedShare) * RequestId.BUCKETS);
     }
 
-    private void shut(double arrivedInBand) {
-        letIn = SHUT;
-        if (arrivedInBand < NOTHING_LEFT) {
+    private void closeBand(double arrivedInBand) {
+        admittedShare = CLOSED_SHARE;
+        if (arrivedInBand < EXHAUSTED_SHARE) {
             nextBand();
         }
     }
 
     private void nextBand() {
-        if (band == BANDS - 1) {
-            letIn = SHUT;
+        if (band == REFUSABLE_BANDS - 1) {
+            admittedShare = CLOSED_SHARE;
             return;
         }
         band++;
-        letIn = 1;
+        admittedShare = 1;
     }
 
     private void previousBand() {
         if (band == 0) {
-            letIn = 1;
+            admittedShare = 1;
             return;
         }
         band--;
-        letIn = SHUT;
+        admittedShare = CLOSED_SHARE;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/ServiceTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/ServiceTime.java
@@ -27,7 +27,7 @@
         });
     }
 
-    long least() {
+    long minNanos() {
         Minimum m = state.get();
         return Math.min(m.previous(), m.current());
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/HoldTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotHoldTime.java
@@ -4,16 +4,16 @@
  * How long calls hold their place in flight, smoothed over the last calls. Safe for many threads; a lost update of two
  * at once does no harm to a mean.
  */
-final class HoldTime {
+final class SlotHoldTime {
     /** Weight of the newest call: about the last hundred calls count, some tenths of a second under load. */
     private static final double SMOOTHING = 0.02;
 
     private volatile double nanos;
 
-    private HoldTime() {}
+    private SlotHoldTime() {}
 
-    static HoldTime unknown() {
-        return new HoldTime();
+    static SlotHoldTime unknown() {
+        return new SlotHoldTime();
     }
 
     void observe(long newNanos) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotLimit.java
@@ -8,7 +8,7 @@
  */
 public final class SlotLimit {
     /** The share of the slots that is used; upstreams were seen to slow down above 95 %. */
-    private static final double USED_SHARE = 0.94;
+    private static final double USABLE_SHARE = 0.94;
 
     private SlotLimit() {}
 
@@ -19,6 +19,6 @@
      * @return the limit, at least 1
      */
     public static ConcurrencyLimit of(int slots) {
-        return FixedLimit.of(Math.max(1, (int) (slots * USED_SHARE)));
+        return FixedLimit.of(Math.max(1, (int) (slots * USABLE_SHARE)));
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/GateSettingsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/GateSettingsTest.java
@@ -10,12 +10,12 @@
 
     @Test
     void aFastUpstreamMayHaveALongQueueThatIsServedInTime() {
-        assertEquals(160, GateSettings.standard().queueMost(16, MILLI));
+        assertEquals(160, GateSettings.standard().maxQueueLength(16, MILLI));
     }
 
     @Test
     void aSlowUpstreamHasAShortQueue() {
-        assertEquals(8, GateSettings.standard().queueMost(16, 100 * MILLI));
-        assertEquals(50, GateSettings.standard().queueMost(100, 100 * MILLI));
+        assertEquals(8, GateSettings.standard().maxQueueLength(16, 100 * MILLI));
+        assertEquals(50, GateSettings.standard().maxQueueLength(100, 100 * MILLI));
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aFloodOfLittleImportanceCannotStarveTheImportant() {
+    void lowImportanceCallsCannotStarveCriticalOnes() {
         offer("running", Importance.LOW, 0, FAR);
         for (int i = 0; i < 100; i++) {
             offer("low" + i, Importance.LOW, 0, FAR);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void dropsWhatCannotMeetItsDeadlineBeforeItCostsAnything() {
+    void refusesACallThatCannotMeetItsDeadline() {
         offer("running", Importance.NORMAL, 0, FAR);
         gate.release(1_000, 500, ConcurrencyLimit.Outcome.ANSWERED, 0);
         gate.release(2_000_000_000L, 500, ConcurrencyLimit.Outcome.ANSWERED, 0);
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
@@ -21,29 +21,29 @@
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
     private static final int CALLS = 8;
-    private static final int AT_ONCE = 2;
+    private static final int PARALLEL_CALLS = 2;
     private static final double SERVICE_MILLIS = 22;
     private static final double[] SPEEDS = {0.6, 1.0, 1.4};
     private static final int LIMIT = 40;
-    private static final long BEFORE_CALL_NANOS = 60 * MILLI;
+    private static final long DELAY_BEFORE_CALL_NANOS = 60 * MILLI;
     private static final long IMPORTANT_GAP_NANOS = 5 * MILLI;
-    private static final long RETURN_LEAST_NANOS = 300 * MILLI;
-    private static final long RETURN_SPREAD_NANOS = 600 * MILLI;
+    private static final long MIN_RETRY_AFTER_NANOS = 300 * MILLI;
+    private static final long RETRY_AFTER_SPREAD_NANOS = 600 * MILLI;
     private static final int SECONDS = 12;
     private static final int ONSET_SECONDS = 2;
-    private static final int SETTLED_AFTER = 3;
+    private static final int WARM_UP_SECONDS = 3;
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final SplittableRandom random = new SplittableRandom(7);
     private final List<Gate> gates = new ArrayList<>();
     private final double[] serviceNanos = new double[SPEEDS.length];
-    private boolean entryHeeds;
+    private boolean entryAppliesLevel;
     private boolean callersReturn;
-    private boolean tied;
+    private boolean callsShareRank;
     private long served;
-    private long asked;
-    private long askedSettled;
-    private long importantAsked;
+    private long requested;
+    private long requestedAfterWarmUp;
+    private long importantRequested;
     private long importantServed;
 
     @Test
@@ -58,22 +58,22 @@
     }
 
     @Test
-    void refusesNextToNothingBelowTheCapacity() {
+    void refusesAlmostNothingBelowTheCapacity() {
         double ours = goodput(QueueOrder.DUE, true, 0.8 * capacity());
-        double demand = (double) askedSettled / (SECONDS - SETTLED_AFTER);
+        double demand = (double) requestedAfterWarmUp / (SECONDS - WARM_UP_SECONDS);
         assertTrue(ours > 0.98 * demand, "goodput " + ours + " of " + demand);
     }
 
     @Test
-    void sparesTheImportantWhileTheRestCanGive() {
+    void servesImportantRequestsWhileOthersCanBeShed() {
         goodput(QueueOrder.DUE, true, 2.2 * capacity());
-        double share = (double) importantServed / importantAsked;
+        double share = (double) importantServed / importantRequested;
         assertTrue(share > 0.97, "important requests served: " + share);
     }
 
     /** Each refused caller comes back once, as told; those that come back are as many as the others. */
     @Test
-    void keepsTheCapacityWhenRefusedCallersComeBack() {
+    void keepsTheCapacityWhenRefusedCallersRetry() {
         callersReturn = true;
         double capacity = capacity();
         double ours = goodput(QueueOrder.DUE, true, 3 * capacity);
@@ -91,7 +91,7 @@
     }
 
     private double servedAtOnset(boolean callsTied) {
-        tied = callsTied;
+        callsShareRank = callsTied;
         begin(QueueOrder.DUE, true, 2.2 * capacity());
         clock.advance(ONSET_SECONDS * SECOND);
         return served;
@@ -108,16 +108,16 @@
 
     private double goodput(QueueOrder order, boolean heeds, double perSecond) {
         begin(order, heeds, perSecond);
-        clock.advance(SETTLED_AFTER * SECOND);
+        clock.advance(WARM_UP_SECONDS * SECOND);
         long before = served;
-        long askedBefore = asked;
-        clock.advance((SECONDS - SETTLED_AFTER) * SECOND);
-        askedSettled = asked - askedBefore;
-        return (double) (served - before) / (SECONDS - SETTLED_AFTER);
+        long askedBefore = requested;
+        clock.advance((SECONDS - WARM_UP_SECONDS) * SECOND);
+        requestedAfterWarmUp = requested - askedBefore;
+        return (double) (served - before) / (SECONDS - WARM_UP_SECONDS);
     }
 
     private void begin(QueueOrder order, boolean heeds, double perSecond) {
-        entryHeeds = heeds;
+        entryAppliesLevel = heeds;
         for (int i = 0; i < SPEEDS.length; i++) {
             gates.add(Gate.of(new GateSettings(true, 2, 8, 20 * MILLI, order), FixedLimit.of(LIMIT)));
             serviceNanos[i] = SERVICE_MILLIS * MILLI / SPEEDS[i];
@@ -125,8 +125,8 @@
         clock.every(AdmissionLevel.WINDOW_NANOS, () -> gates.forEach(Gate::endWindow));
         arrive(perSecond);
         clock.every(IMPORTANT_GAP_NANOS, () -> {
-            importantAsked++;
-            Request request = new Request(importantAsked, Importance.NORMAL, 1);
+            importantRequested++;
+            Request request = new Request(importantRequested, Importance.NORMAL, 1);
             if (!heeds || request.rank >= level()) {
                 new Call(request, choose(), 0, 1).offer();
             }
@@ -136,7 +136,7 @@
     private void arrive(double perSecond) {
         long gap = (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond);
         clock.after(gap, () -> {
-            new Request(asked++, Importance.LOW, CALLS).enter();
+            new Request(requested++, Importance.LOW, CALLS).enter();
             arrive(perSecond);
         });
     }
@@ -163,35 +163,35 @@
         private final RequestId id;
         private final Importance importance;
         private int rank;
-        private int left;
+        private int callsLeft;
         private boolean failed;
 
         Request(long number, Importance importance, int calls) {
             this.id = new RequestId(1, number);
             this.rank = importance.rank(id, false);
             this.importance = importance;
-            this.left = calls;
+            this.callsLeft = calls;
         }
 
         void enter() {
-            if (entryHeeds && rank < level()) {
-                comeBack();
+            if (entryAppliesLevel && rank < level()) {
+                scheduleRetry();
                 return;
             }
-            for (int i = 0; i < AT_ONCE; i++) {
-                call(CALLS / AT_ONCE);
+            for (int i = 0; i < PARALLEL_CALLS; i++) {
+                call(CALLS / PARALLEL_CALLS);
             }
         }
 
-        private void comeBack() {
+        private void scheduleRetry() {
             if (callersReturn && rank == importance.rank(id, false)) {
                 rank = importance.rank(id, true);
-                clock.after(RETURN_LEAST_NANOS + random.nextLong(RETURN_SPREAD_NANOS), this::enter);
+                clock.after(MIN_RETRY_AFTER_NANOS + random.nextLong(RETRY_AFTER_SPREAD_NANOS), this::enter);
             }
         }
 
         private void call(int more) {
-            clock.after(BEFORE_CALL_NANOS, () -> {
+            clock.after(DELAY_BEFORE_CALL_NANOS, () -> {
                 if (!failed) {
                     new Call(this, choose(), 1, more).offer();
                 }
@@ -199,10 +199,10 @@
         }
 
         void answered(int more) {
-            left--;
-            if (left == 0 && !failed && importance == Importance.NORMAL) {
+            callsLeft--;
+            if (callsLeft == 0 && !failed && importance == Importance.NORMAL) {
                 importantServed++;
-            } else if (left == 0 && !failed) {
+            } else if (callsLeft == 0 && !failed) {
                 served++;
             } else if (more > 1) {
                 call(more - 1);
@@ -215,14 +215,14 @@
         private final Request request;
         private final int at;
         private final int depth;
-        private final int more;
+        private final int callsInSequence;
         private final long due = clock.nanos() + 300 * MILLI;
 
         Call(Request request, int at, int depth, int more) {
             this.request = request;
             this.at = at;
             this.depth = depth;
-            this.more = more;
+            this.callsInSequence = more;
         }
 
         void offer() {
@@ -236,7 +236,7 @@
 
         @Override
         public int rank() {
-            return depth == 0 || tied ? request.rank : importance().rank(new RequestId(2, random.nextInt()), false);
+            return depth == 0 || callsShareRank ? request.rank : importance().rank(new RequestId(2, random.nextInt()), false);
         }
 
         @Override
@@ -259,7 +259,7 @@
             long nanos = (long) (serviceNanos[at] * (0.5 + random.nextDouble()));
             clock.after(nanos, () -> {
                 gates.get(at).release(clock.nanos(), nanos, ConcurrencyLimit.Outcome.ANSWERED, depth);
-                request.answered(more);
+                request.answered(callsInSequence);
             });
         }
 
