--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
@@ -21,7 +21,7 @@
  * The links of a node: one to each node it sends to, and those that others opened. Safe for many threads.
  */
 public final class LinkPool implements Links {
-    private static final int PAUSE_TICKS = 3;
+    private static final int MIN_PAUSE_TICKS = 3;
 
     private final Message.Hello self;
     private final TimerService timers;
@@ -29,7 +29,7 @@
     private final Transport transport;
     private final Counters counters;
     private final Listener listener;
-    private final Map<Endpoint, Slot> slots = new ConcurrentHashMap<>();
+    private final Map<Endpoint, PeerLink> peerLinks = new ConcurrentHashMap<>();
     private final Map<Long, LinkSession> sessions = new ConcurrentSkipListMap<>();
     private final AtomicLong sessionNumbers = new AtomicLong();
     private volatile long tickNanos;
@@ -86,13 +86,13 @@
 
     @Override
     public void acquire(Endpoint endpoint, Consumer<Optional<Link>> taker) {
-        Slot slot = slots.computeIfAbsent(endpoint, Slot::new);
+        PeerLink slot = peerLinks.computeIfAbsent(endpoint, PeerLink::new);
         LinkSession open = slot.open;
         if (open != null && !open.closed()) {
             taker.accept(Optional.of(open));
             return;
         }
-        slot.serial.run(() -> slot.want(taker));
+        slot.serial.run(() -> slot.request(taker));
     }
 
     /** Closes every link. */
@@ -116,7 +116,7 @@
 
     private void tick() {
         long now = timers.nanos();
-        boolean paused = now - tickNanos > settings.tickNanos() * PAUSE_TICKS;
+        boolean paused = now - tickNanos > settings.tickNanos() * MIN_PAUSE_TICKS;
         tickNanos = now;
         sessions.values().forEach(s -> s.tick(now, paused));
     }
@@ -170,23 +170,23 @@
     /**
      * Owns the link to one node.
      */
-    private final class Slot implements LinkOwner {
+    private final class PeerLink implements LinkOwner {
         private final Endpoint endpoint;
         private final Serial serial = Serial.create();
-        private final List<Consumer<Optional<Link>>> takers = new ArrayList<>();
+        private final List<Consumer<Optional<Link>>> callbacks = new ArrayList<>();
         private LinkSession opening;
         private volatile LinkSession open;
 
-        private Slot(Endpoint endpoint) {
+        private PeerLink(Endpoint endpoint) {
             this.endpoint = endpoint;
         }
 
-        void want(Consumer<Optional<Link>> taker) {
+        void request(Consumer<Optional<Link>> taker) {
             if (open != null && !open.closed()) {
                 taker.accept(Optional.of(open));
                 return;
             }
-            takers.add(taker);
+            callbacks.add(taker);
             if (opening == null) {
                 opening = LinkSession.create(self, timers, settings, this, true);
                 register(opening);
@@ -200,7 +200,7 @@
                 if (link == opening) {
                     opening = null;
                     open = link;
-                    tell(Optional.of(link));
+                    notifyCallbacks(Optional.of(link));
                 }
             });
         }
@@ -215,7 +215,7 @@
             serial.run(() -> {
                 if (link == opening) {
                     opening = null;
-                    tell(Optional.empty());
+                    notifyCallbacks(Optional.empty());
                 }
                 if (link == open) {
                     open = null;
@@ -224,9 +224,9 @@
             });
         }
 
-        private void tell(Optional<Link> link) {
-            List<Consumer<Optional<Link>>> told = List.copyOf(takers);
-            takers.clear();
+        private void notifyCallbacks(Optional<Link> link) {
+            List<Consumer<Optional<Link>>> told = List.copyOf(callbacks);
+            callbacks.clear();
             told.forEach(t -> t.accept(link));
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -12,7 +12,7 @@
  * that opened it asks for signs of life; the other side answers.
  */
 final class LinkSession implements Link, Transport.Handler {
-    private static final int IDLE_PERIODS_MOST = 4;
+    private static final int MAX_IDLE_PERIODS = 4;
 
     private final Message.Hello self;
     private final TimerService timers;
@@ -24,10 +24,10 @@
     private volatile Channel channel;
     private volatile Message.Hello peer;
     private volatile long peerClock;
-    private volatile long heardNanos;
-    private volatile long clockNanos;
-    private final AtomicInteger awaited = new AtomicInteger();
-    private volatile long unansweredSince;
+    private volatile long lastReceivedNanos;
+    private volatile long peerClockReceivedNanos;
+    private final AtomicInteger awaitedAnswers = new AtomicInteger();
+    private volatile long probeSentNanos;
     private volatile boolean ready;
     private volatile long number;
 
@@ -39,7 +39,7 @@
         this.owner = owner;
         this.opener = opener;
         this.createdNanos = timers.nanos();
-        this.heardNanos = createdNanos;
+        this.lastReceivedNanos = createdNanos;
     }
 
     static LinkSession create(
@@ -81,7 +81,7 @@
 
     @Override
     public void awaiting(int more) {
-        awaited.addAndGet(more);
+        awaitedAnswers.addAndGet(more);
     }
 
     @Override
@@ -92,7 +92,7 @@
     @Override
     public void opened(Channel newChannel) {
         channel = newChannel;
-        heardNanos = timers.nanos();
+        lastReceivedNanos = timers.nanos();
         newChannel.write(self);
         newChannel.write(new Message.Heartbeat(timers.nanos()));
         if (closed.get()) {
@@ -102,12 +102,12 @@
 
     @Override
     public void received(Message message) {
-        heardNanos = timers.nanos();
-        unansweredSince = 0;
+        lastReceivedNanos = timers.nanos();
+        probeSentNanos = 0;
         switch (message) {
-            case Message.Hello hello -> greet(hello);
-            case Message.Heartbeat beat -> beat(beat);
-            default -> pass(message);
+            case Message.Hello hello -> onHello(hello);
+            case Message.Heartbeat beat -> onHeartbeat(beat);
+            default -> forward(message);
         }
     }
 
@@ -116,7 +116,7 @@
         end(false);
     }
 
-    private void greet(Message.Hello hello) {
+    private void onHello(Message.Hello hello) {
         if (hello.version() != Message.VERSION || peer != null) {
             end(false);
             return;
@@ -124,9 +124,9 @@
         peer = hello;
     }
 
-    private void beat(Message.Heartbeat beat) {
+    private void onHeartbeat(Message.Heartbeat beat) {
         peerClock = beat.senderClock();
-        clockNanos = timers.nanos();
+        peerClockReceivedNanos = timers.nanos();
         if (!opener) {
             send(new Message.Heartbeat(timers.nanos()));
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    private void pass(Message message) {
+    private void forward(Message message) {
         if (!ready) {
             end(false);
             return;
@@ -152,30 +152,30 @@
      */
     void tick(long now, boolean paused) {
         if (!ready) {
-            if (now - createdNanos > settings.connectNanos()) {
+            if (now - createdNanos > settings.connectTimeoutNanos()) {
                 end(false);
             }
             return;
         }
         if (paused) {
-            heardNanos = now;
-            unansweredSince = 0;
+            lastReceivedNanos = now;
+            probeSentNanos = 0;
         }
-        long quiet = now - heardNanos;
+        long quiet = now - lastReceivedNanos;
         if (!opener) {
-            if (quiet > settings.idleNanos() * IDLE_PERIODS_MOST) {
+            if (quiet > settings.idleProbeNanos() * MAX_IDLE_PERIODS) {
                 end(true);
             }
             return;
         }
-        if (unansweredSince != 0 && now - unansweredSince > settings.silentNanos() - settings.quietNanos()) {
+        if (probeSentNanos != 0 && now - probeSentNanos > settings.lostAfterNanos() - settings.probeAfterNanos()) {
             end(true);
             return;
         }
-        boolean anxious = awaited.get() > 0 && quiet > settings.quietNanos();
-        boolean clockOld = now - clockNanos > settings.idleNanos();
-        if (unansweredSince == 0 && (anxious || clockOld)) {
-            unansweredSince = now;
+        boolean anxious = awaitedAnswers.get() > 0 && quiet > settings.probeAfterNanos();
+        boolean clockOld = now - peerClockReceivedNanos > settings.idleProbeNanos();
+        if (probeSentNanos == 0 && (anxious || clockOld)) {
+            probeSentNanos = now;
             send(new Message.Heartbeat(now));
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void findsASilentLinkWithinASecondWhileSomebodyWaits() {
+    void closesASilentLinkWithinASecondWhileAnAnswerIsAwaited() {
         Link link = ready();
         clock.advance(2_000 * MILLI);
         answering = false;
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void renewsTheLentClockOnABusyLink() {
+    void refreshesThePeerClockOnABusyLink() {
         Link link = ready();
         link.awaiting(1);
         for (int i = 0; i < 100; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aPauseOfThisProcessProvesNothing() {
+    void keepsTheLinkAfterAPauseOfThisProcess() {
         Link link = ready();
         link.awaiting(1);
         clock.advance(500 * MILLI);
