--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
@@ -23,7 +23,7 @@
      * half a band, so that new requests are not all sent away first. Both kinds spread over as many ranks as are left,
      * so that a level high in the band shuts out nearly all of either.
      */
-    private static final int RETURNING_RANKS = 96;
+    private static final int RETURNING_CALLER_BOOST = 96;
 
     /**
      * Combines importance and bucket into the rank that admission compares with its level.
@@ -33,7 +33,7 @@
      * @return the rank, from 0 to {@link #RANKS} - 1; higher is shed later
      */
     public int rank(RequestId request, boolean returning) {
-        int spread = request.bucket() * (RequestId.BUCKETS - RETURNING_RANKS) / RequestId.BUCKETS;
-        return ordinal() * RequestId.BUCKETS + spread + (returning ? RETURNING_RANKS : 0);
+        int spread = request.bucket() * (RequestId.BUCKETS - RETURNING_CALLER_BOOST) / RequestId.BUCKETS;
+        return ordinal() * RequestId.BUCKETS + spread + (returning ? RETURNING_CALLER_BOOST : 0);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Refusal.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Refusal.java
@@ -14,7 +14,7 @@
      * @param millis when the caller may come back, in milliseconds from now
      * @return the refusal
      */
-    public Refusal comingBackAfter(long millis) {
+    public Refusal withRetryAfter(long millis) {
         return new Refusal(state, reason, millis);
     }
 
@@ -24,7 +24,7 @@
      * @param known whether it ran
      * @return the refusal
      */
-    public Refusal knownAs(RunState known) {
+    public Refusal withState(RunState known) {
         return new Refusal(known, reason, retryAfterMillis);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicy.java
@@ -55,7 +55,7 @@
             return refusal;
         }
         long spareMillis = slackNanos(request, nowNanos) / NANOS_PER_MILLI;
-        return refusal.comingBackAfter(RetryDelay.millis(refusal.retryAfterMillis(), spareMillis, random.get()));
+        return refusal.withRetryAfter(RetryDelay.millis(refusal.retryAfterMillis(), spareMillis, random.get()));
     }
 
     /** How long a request can still wait and be answered within its target latency; below 0 when it will be late. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -382,7 +382,7 @@
     }
 
     private void finishRefused(Refusal refusal) {
-        Refusal told = runState == RunState.NOT_RUN ? refusal : refusal.knownAs(runState);
+        Refusal told = runState == RunState.NOT_RUN ? refusal : refusal.withState(runState);
         request.observer().childFailed();
         parts.counters().refused(told.state(), told.reason());
         sink.refused(dispatcher.callerRetryPolicy().withRetryAfter(request, told, parts.timers().nanos()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -17,19 +17,19 @@
  */
 final class AnswerWriter {
     private final CallId id;
-    private final int keptMost;
-    private boolean keeping;
+    private final int maxStoredBytes;
+    private boolean storing;
     private boolean complete;
     private long credit;
     private long sent;
     private Message.Head head;
-    private ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
+    private ByteArrayOutputStream stored = new ByteArrayOutputStream(0);
 
     AnswerWriter(CallId id, ServeSettings settings, boolean keeping) {
         this.id = id;
-        this.keptMost = settings.keptBytes();
-        this.credit = settings.windowBytes();
-        this.keeping = keeping;
+        this.maxStoredBytes = settings.maxStoredBytes();
+        this.credit = settings.initialCreditBytes();
+        this.storing = keeping;
     }
 
     /** Adds credit and tells whether sending can go on now that could not before. */
@@ -40,69 +40,69 @@
     }
 
     boolean wantsMore() {
-        return keeping || credit > 0;
+        return storing || credit > 0;
     }
 
     void head(Message.Head newHead, Link link) {
         head = newHead;
-        if (!keeping) {
+        if (!storing) {
             link.send(newHead);
         }
     }
 
     void data(byte[] bytes, Link link) {
-        if (!keeping) {
+        if (!storing) {
             sendData(bytes, link);
             return;
         }
-        kept.writeBytes(bytes);
-        if (kept.size() > keptMost) {
-            keeping = false;
+        stored.writeBytes(bytes);
+        if (stored.size() > maxStoredBytes) {
+            storing = false;
             link.send(head);
-            sendData(kept.toByteArray(), link);
-            kept = new ByteArrayOutputStream(0);
+            sendData(stored.toByteArray(), link);
+            stored = new ByteArrayOutputStream(0);
         }
     }
 
     void end(Link link) {
         complete = true;
-        if (keeping) {
-            sendKept(link);
+        if (storing) {
+            sendStored(link);
         } else {
             link.send(new Message.End(id, sent));
         }
     }
 
     /** Sends the outcome of another try as this one's answer. */
-    void whole(KeptAnswer.Whole whole, Link link, Message.Report report) {
+    void writeWhole(KeptAnswer.Whole whole, Link link, Message.Report report) {
         head = new Message.Head(id, whole.status(), whole.headers(), true, report);
-        kept.writeBytes(whole.body());
+        stored.writeBytes(whole.body());
         complete = true;
-        sendKept(link);
+        sendStored(link);
     }
 
     /** Sends the answer again over another link; false when there is none to send. */
     boolean replay(Link link, Supplier<Message.Report> report) {
-        if (!complete || !keeping) {
+        if (!complete || !storing) {
             return false;
         }
         head = new Message.Head(id, head.status(), head.headers(), head.settled(), report.get());
-        sendKept(link);
+        sendStored(link);
         return true;
     }
 
-    KeptAnswer kept() {
-        if (!complete || !keeping) {
+    KeptAnswer stored() {
+        if (!complete || !storing) {
             return new KeptAnswer.Lost(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
         }
-        return new KeptAnswer.Whole(head.status(), head.headers(), kept.toByteArray());
+        return new KeptAnswer.Whole(head.status(), head.headers(), stored.toByteArray());
     }
 
-    private void sendKept(Link link) {
+    private void sendStored(Link link) {
         sent = 0;
         link.send(head);
-        if (kept.size() > 0) {
-            sendData(kept.toByteArray(), link);
+        if (stored.size() > 0) {
+            sendData(stored.toByteArray(), link);
         }
         link.send(new Message.End(id, sent));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -31,8 +31,8 @@
 public final class CallServer {
     private final Parts parts;
     private final ServeSettings settings;
-    private final SeenCalls seen;
-    private final SuspectLane lane = SuspectLane.free();
+    private final SeenCalls seenCalls;
+    private final SuspectQueue suspectQueue = SuspectQueue.empty();
     private final Map<CallId, IncomingCall> calls = new ConcurrentHashMap<>();
     private final Map<String, CallContext> contexts = new ConcurrentHashMap<>();
     private final AtomicLong tokens = new AtomicLong();
@@ -41,7 +41,7 @@
     private CallServer(Parts parts, ServeSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.seen = SeenCalls.startingAt(parts.timers.nanos());
+        this.seenCalls = SeenCalls.startingAt(parts.timers.nanos());
     }
 
     /**
@@ -131,9 +131,9 @@
      * Forgets what is past its time; called at least every fence period, by one thread at a time.
      */
     public void sweep() {
-        seen.rotate(parts.timers::nanos);
+        seenCalls.rotate(parts.timers::nanos);
         long now = parts.timers.nanos();
-        calls.values().removeIf(c -> c.forgettable(now));
+        calls.values().removeIf(c -> c.evictable(now));
         upstream().ifPresent(u -> u.keys().expire(now));
     }
 
@@ -216,10 +216,10 @@
                 call.content(), context.token(), call.request(), call.importance(), remainingNanos);
     }
 
-    void noteHandOver(Message.Call call, LocalUpstream local, long receivedNanos) {
+    void recordHandOver(Message.Call call, LocalUpstream local, long receivedNanos) {
         parts.counters.count(Event.HANDED_OVER);
         parts.ledger.handedOver(call.id(), call.key(), call.idempotent());
-        if (local.drainedBefore(receivedNanos)) {
+        if (local.drainingBefore(receivedNanos)) {
             parts.ledger.handedWhileDraining(call.id());
         }
     }
@@ -228,7 +228,7 @@
      * Notes what an upstream had when it ended, and returns what to call that. One that was leaving ends as planned,
      * with whatever it still has; that says nothing of its calls.
      */
-    RefusalReason noteEnded(Message.Call call, LocalUpstream local) {
+    RefusalReason recordCrash(Message.Call call, LocalUpstream local) {
         if (local.draining()) {
             return RefusalReason.UPSTREAM_BROKEN;
         }
@@ -240,8 +240,8 @@
     }
 
     /** Returns where calls run one at a time under which upstreams have ended. */
-    SuspectLane lane() {
-        return lane;
+    SuspectQueue suspectQueue() {
+        return suspectQueue;
     }
 
     private Optional<IncomingCall> find(CallId id) {
@@ -254,21 +254,21 @@
 
     private void call(Link link, Message.Call call) {
         parts.counters.count(Event.CALL_IN);
-        if (!seen.claim(call.id())) {
+        if (!seenCalls.claim(call.id())) {
             parts.counters.count(Event.CALL_REPEATED);
             return;
         }
         LocalUpstream local = upstream;
         if (local == null || !local.id().equals(call.target().upstream())) {
-            turnAway(link, call, RefusalReason.UPSTREAM_UNREACHABLE);
+            refuseUntracked(link, call, RefusalReason.UPSTREAM_UNREACHABLE);
             return;
         }
         if (local.draining()) {
-            turnAway(link, call, RefusalReason.DRAINING);
+            refuseUntracked(link, call, RefusalReason.DRAINING);
             return;
         }
-        if (Freshness.stale(call, parts.timers.nanos(), settings.fenceGraceNanos())) {
-            turnAway(link, call, RefusalReason.FENCED);
+        if (Freshness.isStale(call, parts.timers.nanos(), settings.fenceGraceNanos())) {
+            refuseUntracked(link, call, RefusalReason.FENCED);
             return;
         }
         IncomingCall incoming = new IncomingCall(this, local, call, link);
@@ -277,8 +277,8 @@
     }
 
     /** Refuses a call of which nothing but its fate is kept. */
-    private void turnAway(Link link, Message.Call call, RefusalReason reason) {
-        seen.neverRuns(call.id());
+    private void refuseUntracked(Link link, Message.Call call, RefusalReason reason) {
+        seenCalls.neverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
     }
 
@@ -290,7 +290,7 @@
             return;
         }
         Refusal fate =
-                neverRuns(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
+                sealIfNeverRun(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
         parts.decisions.note(new Decision.FateTold(id, fate.state(), fate.reason(), parts.incarnation));
         refuse(link, id, fate, report(Optional.empty()));
     }
@@ -301,17 +301,17 @@
      * ids of that age. A process that had started anew would seal what the one before it ran, and so give it a second
      * run.
      */
-    private boolean neverRuns(Message.Inquire inquiry) {
+    private boolean sealIfNeverRun(Message.Inquire inquiry) {
         CallId id = inquiry.id();
         if (inquiry.sentTo() != parts.incarnation) {
             return false;
         }
-        if (seen.isNeverRun(id)) {
+        if (seenCalls.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seen.claim(id) && seen.reachesBackTo(inquiry.sentClock());
+        boolean neverArrived = seenCalls.claim(id) && seenCalls.reachesBackTo(inquiry.sentClock());
         if (neverArrived) {
-            seen.neverRuns(id);
+            seenCalls.neverRuns(id);
         }
         return neverArrived;
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
@@ -10,7 +10,7 @@
     private static final long NANOS_PER_MICRO = 1_000L;
 
     /** How many of the longest times to live a call that must run once may outlast its deadline at the upstream. */
-    private static final int ONCE_EXTRA_TTLS = 2;
+    private static final int NON_IDEMPOTENT_EXTRA_TTLS = 2;
 
     private final Message.Call call;
     private final TimerService timers;
@@ -49,17 +49,17 @@
     }
 
     /** Tells whether the call may have waited unseen for longer than its time to live. */
-    boolean stale() {
-        return Freshness.stale(call, now(), settings.fenceGraceNanos());
+    boolean isStale() {
+        return Freshness.isStale(call, now(), settings.fenceGraceNanos());
     }
 
     /** Returns how long a call that must run once is still awaited after its deadline. */
-    long afterDeadline() {
-        return settings.maxTtlNanos() * ONCE_EXTRA_TTLS;
+    long graceAfterDeadline() {
+        return settings.maxTtlNanos() * NON_IDEMPOTENT_EXTRA_TTLS;
     }
 
     /** Tells whether that time is over, too. */
-    boolean expiredForGood() {
-        return now() - deadlineNanos >= afterDeadline();
+    boolean graceExpired() {
+        return now() - deadlineNanos >= graceAfterDeadline();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/Freshness.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/Freshness.java
@@ -13,7 +13,7 @@
     private Freshness() {}
 
     /** Tells whether a call that must not run twice may be past its time to live by more than the grace. */
-    static boolean stale(Message.Call call, long nowNanos, long graceNanos) {
+    static boolean isStale(Message.Call call, long nowNanos, long graceNanos) {
         if (call.idempotent()) {
             return false;
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
@@ -12,20 +12,20 @@
  */
 final class IdleTimeout implements Subscription {
     private final TimerService timers;
-    private final long mostNanos;
+    private final long timeoutNanos;
     private final Serial serial;
-    private final BooleanSupplier wanting;
-    private final Runnable expired;
+    private final BooleanSupplier expectingMore;
+    private final Runnable onExpired;
     private long progressNanos;
-    private Subscription next;
-    private boolean over;
+    private Subscription timer;
+    private boolean stopped;
 
     private IdleTimeout(TimerService timers, long mostNanos, Serial serial, BooleanSupplier wanting, Runnable expired) {
         this.timers = timers;
-        this.mostNanos = mostNanos;
+        this.timeoutNanos = mostNanos;
         this.serial = serial;
-        this.wanting = wanting;
-        this.expired = expired;
+        this.expectingMore = wanting;
+        this.onExpired = expired;
         this.progressNanos = timers.nanos();
     }
 
@@ -43,24 +43,24 @@
 
     @Override
     public void cancel() {
-        over = true;
-        next.cancel();
+        stopped = true;
+        timer.cancel();
     }
 
     private void arm(long nanos) {
-        next = timers.after(nanos, () -> serial.run(this::look));
+        timer = timers.after(nanos, () -> serial.run(this::check));
     }
 
-    private void look() {
-        if (over) {
+    private void check() {
+        if (stopped) {
             return;
         }
         long idle = timers.nanos() - progressNanos;
-        if (idle < mostNanos || !wanting.getAsBoolean()) {
-            arm(idle < mostNanos ? mostNanos - idle : mostNanos);
+        if (idle < timeoutNanos || !expectingMore.getAsBoolean()) {
+            arm(idle < timeoutNanos ? timeoutNanos - idle : timeoutNanos);
             return;
         }
-        over = true;
-        expired.run();
+        stopped = true;
+        onExpired.run();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -21,7 +21,7 @@
 /**
  * One call received from a node above. Everything happens inside a serial runner; only the link is read from elsewhere.
  */
-final class IncomingCall implements Waiting, UpstreamPort.Listener, KeyedTry.Host, SuspectLane.Suspected {
+final class IncomingCall implements Waiting, UpstreamPort.Listener, KeyedAttempt.Host, SuspectQueue.SuspectedCall {
     private static final int UNAVAILABLE = 503;
 
     private final CallServer server;
@@ -30,13 +30,13 @@
     private final Serial serial = Serial.create();
     private final CallTimes times;
     private final AnswerWriter answer;
-    private final SuspectPass suspicion;
+    private final QuarantineCheck quarantineCheck;
     private volatile Link link;
     private volatile Phase phase = Phase.WAITING;
     private volatile long finishedNanos;
     private CallContext context;
     private UpstreamPort.Exchange exchange;
-    private long handedNanos;
+    private long handedOverNanos;
     private long headNanos;
     private int status;
     private boolean keyClaimed;
@@ -51,7 +51,7 @@
         this.call = call;
         this.link = link;
         this.times = CallTimes.receivedNow(call, server.parts().timers(), server.settings());
-        this.suspicion = new SuspectPass(server, local, call, this);
+        this.quarantineCheck = new QuarantineCheck(server, local, call, this);
         this.answer = new AnswerWriter(call.id(), server.settings(), !call.idempotent());
     }
 
@@ -67,7 +67,7 @@
         return phase == Phase.FINISHED;
     }
 
-    boolean forgettable(long now) {
+    boolean evictable(long now) {
         return finished() && now - finishedNanos > server.sweepNanos();
     }
 
@@ -80,7 +80,7 @@
                 local.gate().offer(this, times.received());
                 return;
             }
-            KeyedTry.begin(server, local, call, serial, this);
+            KeyedAttempt.begin(server, local, call, serial, this);
         });
     }
 
@@ -105,7 +105,7 @@
                 refuseNotRun(RefusalReason.CANCELLED);
             } else if (phase == Phase.HANDED && call.idempotent()) {
                 server.parts().counters().refused(RunState.MAY_HAVE_RUN, RefusalReason.CANCELLED);
-                breakOff();
+                cancelExchange();
             }
         });
     }
@@ -118,7 +118,7 @@
             if (phase == Phase.WAITING) {
                 refuseNotRun(RefusalReason.SEALED);
             } else if (phase == Phase.HANDED && call.idempotent()) {
-                breakOff();
+                cancelExchange();
             }
         });
     }
@@ -179,22 +179,22 @@
 
     @Override
     public void unreachable() {
-        neverRan(RefusalReason.UPSTREAM_UNREACHABLE, ConcurrencyLimit.Outcome.IGNORED);
+        failNotRun(RefusalReason.UPSTREAM_UNREACHABLE, ConcurrencyLimit.Outcome.IGNORED);
     }
 
     @Override
     public void notRun() {
-        neverRan(RefusalReason.UPSTREAM_REFUSED, ConcurrencyLimit.Outcome.SHED);
+        failNotRun(RefusalReason.UPSTREAM_REFUSED, ConcurrencyLimit.Outcome.SHED);
     }
 
     @Override
     public void head(int newStatus, List<HeaderField> headers) {
-        whileHanded(() -> {
+        ifHandedOver(() -> {
             status = newStatus;
             headNanos = times.now();
             timer.cancel();
             idle = IdleTimeout.start(
-                    server.parts().timers(), server.settings().idleNanos(), serial, answer::wantsMore, this::onIdle);
+                    server.parts().timers(), server.settings().answerIdleNanos(), serial, answer::wantsMore, this::onIdle);
             timer = idle;
             Message.Head head = new Message.Head(call.id(), newStatus, headers, context.hasFailedChild(), report());
             answer.head(head, link);
@@ -204,7 +204,7 @@
 
     @Override
     public void data(byte[] bytes) {
-        whileHanded(() -> {
+        ifHandedOver(() -> {
             idle.progressed();
             answer.data(bytes, link);
             requestMore();
@@ -213,7 +213,7 @@
 
     @Override
     public void end() {
-        whileHanded(() -> {
+        ifHandedOver(() -> {
             answer.end(link);
             server.parts().quarantine().answered(call.content());
             finish(status == UNAVAILABLE ? ConcurrencyLimit.Outcome.SHED : ConcurrencyLimit.Outcome.ANSWERED);
@@ -227,13 +227,13 @@
 
     @Override
     public void upstreamEnded() {
-        whileHanded(() -> {
-            Refusal refusal = Refusal.mayHaveRun(server.noteEnded(call, local));
+        ifHandedOver(() -> {
+            Refusal refusal = Refusal.mayHaveRun(server.recordCrash(call, local));
             fail(refusal, ConcurrencyLimit.Outcome.IGNORED);
         });
     }
 
-    private void whileHanded(Runnable step) {
+    private void ifHandedOver(Runnable step) {
         serial.run(() -> {
             if (phase == Phase.HANDED) {
                 step.run();
@@ -241,7 +241,7 @@
         });
     }
 
-    private void neverRan(RefusalReason reason, ConcurrencyLimit.Outcome outcome) {
+    private void failNotRun(RefusalReason reason, ConcurrencyLimit.Outcome outcome) {
         serial.run(() -> {
             server.parts().ledger().neverReached(call.id());
             fail(server.notRun(reason), outcome);
@@ -261,17 +261,17 @@
     }
 
     @Override
-    public void ownsKey() {
+    public void keyGranted() {
         keyClaimed = true;
         local.gate().offer(this, times.now());
     }
 
     @Override
-    public void adopt(KeptAnswer.Whole whole) {
+    public void replayAnswer(KeptAnswer.Whole whole) {
         server.parts().counters().count(Event.ANSWER_REPLAYED);
-        answer.whole(whole, link, report());
+        answer.writeWhole(whole, link, report());
         phase = Phase.FINISHED;
-        conclude();
+        complete();
     }
 
     @Override
@@ -280,25 +280,25 @@
     }
 
     private void handOver() {
-        handedNanos = times.now();
-        if (phase != Phase.WAITING || heldBack()) {
-            local.gate().release(handedNanos, 0, ConcurrencyLimit.Outcome.IGNORED, call.depth());
+        handedOverNanos = times.now();
+        if (phase != Phase.WAITING || refusedOrDelayed()) {
+            local.gate().release(handedOverNanos, 0, ConcurrencyLimit.Outcome.IGNORED, call.depth());
             return;
         }
         phase = Phase.HANDED;
-        server.noteHandOver(call, local, times.received());
+        server.recordHandOver(call, local, times.received());
         context = server.openContext(call, times.deadline(), this::link);
-        exchange = local.port().start(server.handOver(call, context, times.deadline() - handedNanos), this);
+        exchange = local.port().start(server.handOver(call, context, times.deadline() - handedOverNanos), this);
     }
 
     /** Refuses the call if it is too late, or leaves it waiting if it must not run beside another. */
-    private boolean heldBack() {
-        boolean late = handedNanos >= times.deadline();
-        if (late || times.stale()) {
+    private boolean refusedOrDelayed() {
+        boolean late = handedOverNanos >= times.deadline();
+        if (late || times.isStale()) {
             refuseNotRun(late ? RefusalReason.DEADLINE : RefusalReason.FENCED);
             return true;
         }
-        return suspicion.denied(this::refuseNow);
+        return quarantineCheck.blocks(this::refuseNow);
     }
 
     @Override
@@ -321,7 +321,7 @@
         fail(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN), ConcurrencyLimit.Outcome.IGNORED);
     }
 
-    private void breakOff() {
+    private void cancelExchange() {
         exchange.cancel();
         finish(ConcurrencyLimit.Outcome.IGNORED);
     }
@@ -331,19 +331,19 @@
             refuseNotRun(RefusalReason.DEADLINE);
             return;
         }
-        if (phase != Phase.HANDED || deadlinePassed && !call.idempotent() && !times.expiredForGood()) {
+        if (phase != Phase.HANDED || deadlinePassed && !call.idempotent() && !times.graceExpired()) {
             return;
         }
         if (!deadlinePassed) {
             deadlinePassed = true;
-            tellAbove(Refusal.mayHaveRun(RefusalReason.DEADLINE));
+            sendRefusal(Refusal.mayHaveRun(RefusalReason.DEADLINE));
         }
-        if (call.idempotent() || times.expiredForGood()) {
+        if (call.idempotent() || times.graceExpired()) {
             lastRefusal = Refusal.mayHaveRun(RefusalReason.DEADLINE);
-            breakOff();
+            cancelExchange();
             return;
         }
-        timer = server.parts().timers().after(times.afterDeadline(), () -> serial.run(this::onDeadline));
+        timer = server.parts().timers().after(times.graceAfterDeadline(), () -> serial.run(this::onDeadline));
     }
 
     private void refuseNotRun(RefusalReason reason) {
@@ -358,35 +358,35 @@
         if (keyClaimed) {
             local.keys().withdraw(call.key(), new KeptAnswer.Lost(refusal));
         }
-        conclude();
+        complete();
     }
 
     private void refuse(Refusal refusal) {
         lastRefusal = refusal;
-        tellAbove(refusal);
+        sendRefusal(refusal);
     }
 
-    private void tellAbove(Refusal refusal) {
+    private void sendRefusal(Refusal refusal) {
         server.refuse(link, call, refusal, Optional.ofNullable(context));
     }
 
     private void finish(ConcurrencyLimit.Outcome outcome) {
         phase = Phase.FINISHED;
         long now = times.now();
-        long latency = headNanos == 0 ? now - handedNanos : headNanos - handedNanos;
+        long latency = headNanos == 0 ? now - handedOverNanos : headNanos - handedOverNanos;
         if (keyClaimed) {
             Optional<Refusal> refusal = Optional.ofNullable(lastRefusal);
-            KeySettlement.settle(local.keys(), server.parts().ledger(), call.key(), refusal, answer.kept(), now);
+            KeySettlement.settle(local.keys(), server.parts().ledger(), call.key(), refusal, answer.stored(), now);
         }
         server.closeContext(context);
-        conclude();
+        complete();
         local.gate().release(now, latency, outcome, call.depth());
     }
 
-    private void conclude() {
+    private void complete() {
         finishedNanos = times.now();
         timer.cancel();
-        suspicion.over();
+        quarantineCheck.finished();
         if (call.idempotent()) {
             server.forget(this);
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
@@ -16,7 +16,7 @@
     private final TimerService timers;
     private volatile long sinceNanos;
     private volatile boolean draining;
-    private volatile long drainedNanos;
+    private volatile long drainingSinceNanos;
 
     private LocalUpstream(String id, String service, UpstreamPort port, Gate gate, KeyTable keys, TimerService timers) {
         this.id = id;
@@ -116,8 +116,8 @@
      * @param nanos the time
      * @return whether what arrived then must not be handed over
      */
-    public boolean drainedBefore(long nanos) {
-        return draining && drainedNanos < nanos;
+    public boolean drainingBefore(long nanos) {
+        return draining && drainingSinceNanos < nanos;
     }
 
     /**
@@ -127,7 +127,7 @@
      */
     public void drain(boolean leaving) {
         if (leaving && !draining) {
-            drainedNanos = timers.nanos();
+            drainingSinceNanos = timers.nanos();
         }
         if (!leaving && draining) {
             sinceNanos = timers.nanos();
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectPass.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
@@ -12,22 +12,22 @@
  * same request. Asked right before the hand-over, so that no call gets past it: a first try, a retry, a filing, or one
  * that waited while upstreams ended elsewhere.
  */
-final class SuspectPass {
+final class QuarantineCheck {
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final SuspectLane.Suspected taker;
+    private final SuspectQueue.SuspectedCall suspect;
     private boolean suspected;
 
-    SuspectPass(CallServer server, LocalUpstream local, Message.Call call, SuspectLane.Suspected taker) {
+    QuarantineCheck(CallServer server, LocalUpstream local, Message.Call call, SuspectQueue.SuspectedCall taker) {
         this.server = server;
         this.local = local;
         this.call = call;
-        this.taker = taker;
+        this.suspect = taker;
     }
 
     /** Tells whether the call must not be handed over now: it is refused, or resumed later. */
-    boolean denied(Consumer<Refusal> refuse) {
+    boolean blocks(Consumer<Refusal> refuse) {
         if (suspected && local.draining()) {
             // The queue was emptied when the upstream began to leave; the call waited beside it.
             refuse.accept(server.notRun(RefusalReason.DRAINING));
@@ -37,7 +37,7 @@
             case Standing.Free free -> false;
             case Standing.Alone alone -> {
                 suspected = true;
-                yield !server.lane().enter(taker);
+                yield !server.suspectQueue().tryStart(suspect);
             }
             case Standing.Held held -> {
                 refuse.accept(server.parts().quarantine().refusal(call.request(), held));
@@ -47,9 +47,9 @@
     }
 
     /** Takes notice that the call has ended, however. */
-    void over() {
+    void finished() {
         if (suspected) {
-            server.lane().leave(taker);
+            server.suspectQueue().finish(suspect);
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
@@ -5,19 +5,19 @@
  *
  * @param maxTtlNanos the longest time to live of a call, in nanoseconds
  * @param fenceGraceNanos how much older than its time to live a call's proof of freshness may be, in nanoseconds
- * @param idleNanos how long an upstream may be silent within an answer, in nanoseconds
- * @param windowBytes how much of an answer is sent before the caller allows more, in bytes
- * @param keptBytes the largest answer that is kept for a caller who asks again, in bytes
+ * @param answerIdleNanos how long an upstream may be silent within an answer, in nanoseconds
+ * @param initialCreditBytes how much of an answer is sent before the caller allows more, in bytes
+ * @param maxStoredBytes the largest answer that is kept for a caller who asks again, in bytes
  * @param retryAfterMillis the least time after which a refused caller may come back, in milliseconds
  */
 public record ServeSettings(
-        long maxTtlNanos, long fenceGraceNanos, long idleNanos, int windowBytes, int keptBytes, long retryAfterMillis) {
+        long maxTtlNanos, long fenceGraceNanos, long answerIdleNanos, int initialCreditBytes, int maxStoredBytes, long retryAfterMillis) {
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_TTL_SECONDS = 30;
     private static final long DEFAULT_GRACE_SECONDS = 8;
     private static final long DEFAULT_IDLE_SECONDS = 10;
-    private static final int DEFAULT_WINDOW = 256 * 1024;
-    private static final int DEFAULT_KEPT = 64 * 1024;
+    private static final int DEFAULT_INITIAL_CREDIT_BYTES = 256 * 1024;
+    private static final int DEFAULT_MAX_STORED_BYTES = 64 * 1024;
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     /**
@@ -30,8 +30,8 @@
                 DEFAULT_TTL_SECONDS * SECOND,
                 DEFAULT_GRACE_SECONDS * SECOND,
                 DEFAULT_IDLE_SECONDS * SECOND,
-                DEFAULT_WINDOW,
-                DEFAULT_KEPT,
+                DEFAULT_INITIAL_CREDIT_BYTES,
+                DEFAULT_MAX_STORED_BYTES,
                 DEFAULT_RETRY_AFTER_MILLIS);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectLane.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectQueue.java
@@ -11,18 +11,18 @@
  * upstream with about a third of them. Without the lane these would end up at the third one together, and all would
  * seem guilty; one after the other, at a tenth of a second each, they are answered within a second or two and cleared.
  */
-final class SuspectLane {
-    private final Deque<Suspected> waiting = new ArrayDeque<>();
-    private Suspected running;
+final class SuspectQueue {
+    private final Deque<SuspectedCall> waiting = new ArrayDeque<>();
+    private SuspectedCall running;
 
-    private SuspectLane() {}
+    private SuspectQueue() {}
 
-    static SuspectLane free() {
-        return new SuspectLane();
+    static SuspectQueue empty() {
+        return new SuspectQueue();
     }
 
-    /** Asks to run; a call that may not run yet is told later by {@link Suspected#resume}. */
-    synchronized boolean enter(Suspected call) {
+    /** Asks to run; a call that may not run yet is told later by {@link SuspectedCall#resume}. */
+    synchronized boolean tryStart(SuspectedCall call) {
         if (running == null || running == call) {
             running = call;
             return true;
@@ -32,8 +32,8 @@
     }
 
     /** Takes notice that a call has ended, whether it ran or still waited. */
-    void leave(Suspected call) {
-        Suspected next;
+    void finish(SuspectedCall call) {
+        SuspectedCall next;
         synchronized (this) {
             waiting.remove(call);
             if (running != call) {
@@ -48,7 +48,7 @@
     }
 
     /** A call under which upstreams have ended. */
-    interface Suspected {
+    interface SuspectedCall {
         /** Takes notice that the call may run now. */
         void resume();
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aLeavingUpstreamGetsNothing() {
+    void aDrainingUpstreamGetsNoCalls() {
         local.drain(true);
         server.received(link, call(true, ""));
         assertEquals(0, handed.size());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void refusesACallThatWaitedUnseenForTooLong() {
+    void refusesACallThatWasDelayedPastItsTimeToLive() {
         Message.Call call = call(false, "");
         clock.advance(30_000 * MILLI);
         server.received(link, call);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void looksAtTheClockAgainRightBeforeTheHandOver() {
+    void checksTheClockAgainRightBeforeTheHandOver() {
         server.received(link, call(true, ""));
         server.received(link, call(false, ""));
         clock.jump(30_000 * MILLI);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void givesTheKeptAnswerOverANewConnection() {
+    void repeatsTheStoredAnswerOverANewConnection() {
         Message.Call filing = call(false, "");
         server.received(link, filing);
         server.linkLost(link);
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aRetryIsAskedForAgainOverANewConnection() {
+    void aPendingRetryRequestIsRepeatedOverANewConnection() {
         Message.Call filing = call(false, "");
         server.received(link, filing);
         server.context(token).orElseThrow().budget().spend(granted -> {});
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void saysMayHaveRunWhenTheUpstreamBreaksOff() {
+    void reportsMayHaveRunWhenTheUpstreamBreaksTheConnection() {
         server.received(link, call(false, "k"));
         handed.getFirst().broken();
         assertEquals(RunState.MAY_HAVE_RUN, lastRefusal().refusal().state());
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void saysNotRunWhenTheUpstreamCannotBeReached() {
+    void reportsNotRunWhenTheUpstreamCannotBeReached() {
         server.received(link, call(false, "k"));
         handed.getFirst().unreachable();
         assertEquals(RunState.NOT_RUN, lastRefusal().refusal().state());
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void letsAFilingRunToItsEndWhenItsCallerLeaves() {
+    void completesANonIdempotentCallWhoseCallerLeaves() {
         Message.Call call = call(false, "k");
         server.received(link, call);
         server.received(link, new Message.Cancel(call.id()));
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void anUpstreamThatNeverAnswersDoesNotKeepItsSlot() {
+    void freesTheSlotOfACallThatIsNeverAnswered() {
         server.received(link, call(true, ""));
         clock.advance(1_000 * MILLI);
         assertEquals(0, local.gate().inFlight());
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aCallBelowFindsItsContextUntilTheCallEnds() {
+    void aNestedCallFindsItsContextUntilTheServedCallEnds() {
         server.received(link, call(true, ""));
         assertTrue(server.context(token).isPresent());
         answer(0, 200, "");
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -25,7 +25,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /** Tests that a node which knows that an attempt did not run says so again when its first word was lost. */
-final class KnownFateTest {
+final class RepeatedInquiryTest {
     private static final long MILLI = 1_000_000L;
     private static final long TTL_MICROS = 1_000_000L;
 
@@ -56,42 +56,42 @@
             KeyTable.keeping(60_000 * MILLI),
             clock);
 
-    KnownFateTest() {
+    RepeatedInquiryTest() {
         clock.advance(MILLI);
         server.attach(local);
     }
 
     @Test
-    void aSealIsToldAgainWhenItsAnswerWasLost() {
+    void aSealIsReportedAgainWhenItsAnswerWasLost() {
         Message.Call late = call("u1");
         server.received(link, inquiry(late));
         server.linkLost(link);
         server.received(fresh, inquiry(late));
-        assertEquals(RunState.NOT_RUN, told());
+        assertEquals(RunState.NOT_RUN, reportedState());
         assertEquals(List.of(), handed);
     }
 
     @Test
-    void aRefusalAtTheDoorIsToldAgainWhenItWasLost() {
+    void aRefusalBeforeQueueingIsReportedAgainWhenItWasLost() {
         local.drain(true);
         Message.Call refused = call("u1");
         server.received(link, refused);
         server.linkLost(link);
         server.received(fresh, inquiry(refused));
-        assertEquals(RunState.NOT_RUN, told());
+        assertEquals(RunState.NOT_RUN, reportedState());
     }
 
     /** As after a pause of the node, which goes on under a new id and finds the call in the old connection's buffer. */
     @Test
-    void aRefusalOfACallForTheFormerIdIsToldAgain() {
+    void aRefusalOfACallForTheFormerIdIsReportedAgain() {
         server.attach(local.renamed("u1-renamed"));
         Message.Call refused = call("u1");
         server.received(link, refused);
         server.received(fresh, inquiry(refused));
-        assertEquals(RunState.NOT_RUN, told());
+        assertEquals(RunState.NOT_RUN, reportedState());
     }
 
-    private RunState told() {
+    private RunState reportedState() {
         return ((Message.Refused) fresh.sent().getLast()).refusal().state();
     }
 
