--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
@@ -4,11 +4,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * How long requests of callers take until they are answered well, by kind of request. Safe for many threads; a lost
- * update of two at once does no harm to a mean.
+ * Smoothed response times of successful requests from callers, by kind of request. Thread-safe; when two threads update
+ * one mean at the same time, one update may be lost, which a mean tolerates.
  */
 final class AnswerTimes {
-    /** Weight of the newest answer: some tens of answers count, a second or two of one node's load. */
+    /**
+     * Weight of the newest answer: the mean follows the last few tens of answers, one or two seconds of a node's load.
+     */
     private static final double SMOOTHING = 0.05;
 
     private final Map<Kind, Double> smoothedNanos = new ConcurrentHashMap<>();
@@ -20,20 +22,20 @@
     }
 
     /**
-     * Notes a good answer.
+     * Records a successful answer.
      *
-     * @param kind what was asked for
-     * @param nanos how long it took, in nanoseconds
+     * @param kind the kind of request
+     * @param nanos the response time, in nanoseconds
      */
     void record(Kind kind, long nanos) {
-        smoothedNanos.merge(kind, (double) nanos, (seen, taken) -> seen + SMOOTHING * (taken - seen));
+        smoothedNanos.merge(kind, (double) nanos, (mean, newest) -> mean + SMOOTHING * (newest - mean));
     }
 
     /**
-     * Returns how long an answer takes.
+     * Returns the smoothed response time of a kind of request.
      *
-     * @param kind what is asked for
-     * @return the time in nanoseconds, 0 when none was seen
+     * @param kind the kind of request
+     * @return the time in nanoseconds, 0 when no answer was recorded yet
      */
     long typicalNanos(Kind kind) {
         return smoothedNanos.getOrDefault(kind, 0.0).longValue();
@@ -42,11 +44,11 @@
     /**
      * A kind of request.
      *
-     * @param service the service asked
-     * @param pathClass the class of its path
+     * @param service the called service
+     * @param pathClass the class of the path, see {@link Request#pathClass}
      */
     record Kind(String service, String pathClass) {
-        // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+        // Written out: the record's own methods are generated at their first use, which slows the start of a process.
         @Override
         public boolean equals(Object other) {
             return other instanceof Kind o && service.equals(o.service) && pathClass.equals(o.pathClass);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -12,8 +12,8 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * One attempt of a request. Its state is changed only inside its request's serial runner; the link alone is read from
- * elsewhere.
+ * One attempt of a request. State is changed only inside the serial executor of the request; only the link is read by
+ * other threads.
  */
 final class Attempt {
     private final CallId id;
@@ -67,7 +67,7 @@
         this.link = newLink;
     }
 
-    /** Stops waiting on the link, which stays known. */
+    /** Stops counting as an awaited answer of the link; {@link #link} still returns the link. */
     void unbind() {
         if (link != null && countedOnLink) {
             link.awaiting(-1);
@@ -75,12 +75,15 @@
         countedOnLink = false;
     }
 
-    /** Returns the incarnation of the process that the attempt was sent to, whoever was asked about it later. */
+    /**
+     * Returns the incarnation of the process that the attempt was first sent to. Inquiries sent later to another
+     * incarnation don't change the value.
+     */
     long targetIncarnation() {
         return targetIncarnation;
     }
 
-    /** Words the question what became of the attempt. */
+    /** Creates the inquiry about the outcome of the attempt. */
     Message.Inquire inquiry() {
         return new Message.Inquire(id, targetIncarnation, targetClock);
     }
@@ -97,7 +100,7 @@
         headSeen = true;
     }
 
-    /** Notes that the node beside the upstream has said its last word on the attempt. */
+    /** Marks the attempt as concluded: the called node has sent its final message about the attempt. */
     void conclude() {
         concluded = true;
     }
@@ -118,16 +121,16 @@
         return deferredMessages;
     }
 
-    /** Takes the report of the node beside the upstream. */
+    /** Applies the load report of the called node. */
     void applyReport(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
-        request.observer().leadsTo(request.service());
+        request.observer().serviceReached(request.service());
         if (!report.below().service().isEmpty()) {
-            request.observer().leadsTo(report.below().service());
+            request.observer().serviceReached(report.below().service());
         }
     }
 
-    /** Takes a refusal, which is the last word of the node beside the upstream. */
+    /** Handles a refusal, the final message of the called node about the attempt. */
     void refused(Request request, String pathClass, Message.Refused refused, long nowNanos) {
         applyReport(request, pathClass, refused.report(), nowNanos);
         conclude();
@@ -136,7 +139,7 @@
         }
     }
 
-    /** Tells the node beside the upstream that nobody waits any more, unless the attempt is over. */
+    /** Cancels the call at the called node, unless the attempt is over. */
     void cancel() {
         if (sent() && !concluded && !link.closed()) {
             link.send(new Message.Cancel(id));
@@ -144,15 +147,15 @@
     }
 
     /**
-     * Notes that the upstream ended. The node beside it notes the same end and may die with it; whichever is left tells
-     * the others.
+     * Records a crash of the upstream. The node colocated with the upstream records the same crash but may die with it;
+     * whichever node survives reports the crash to the others.
      */
     void upstreamCrashed(Dispatcher.Parts parts, Request request) {
         parts.quarantine().ended(request.content(), candidate.upstream().id());
         upstreamFailed(parts);
     }
 
-    /** Notes that the upstream failed, which may take it out of the choice for a while. */
+    /** Records a failure of the upstream, which may eject the upstream from routing for a while. */
     void upstreamFailed(Dispatcher.Parts parts) {
         if (candidate.failed(parts.timers().nanos())) {
             parts.counters().count(Event.UPSTREAM_EJECTED);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallHandle.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallHandle.java
@@ -3,23 +3,23 @@
 import org.verbenadyke.kernel.call.RequestId;
 
 /**
- * Steers a request under way.
+ * Controls a request in flight.
  */
 public interface CallHandle {
     /**
-     * Allows more of the answer's body.
+     * Grants flow-control credit for more of the answer's body.
      *
      * @param bytes how many bytes more
      */
     void credit(int bytes);
 
     /**
-     * Returns the request's id among the nodes.
+     * Returns the id that identifies the request on all nodes.
      *
      * @return the id
      */
     RequestId requestId();
 
-    /** Gives the request up: its caller left. */
+    /** Cancels the request, since its caller disconnected. */
     void cancel();
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicy.java
@@ -7,9 +7,9 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 
 /**
- * Decides when callers that are refused come back, and which of them go before new ones. Both turn on whether the
- * answer can still come within the target latency, by how long answers of that kind take. With none seen yet, every
- * answer counts as quick. Safe for many threads.
+ * Decides after which delay refused callers retry, and which retrying callers are prioritized over new ones. Both
+ * decisions depend on whether an answer can still arrive within the target latency, judged by the response times of
+ * that kind of request. While no response time is known, an answer is assumed to arrive in time. Thread-safe.
  */
 final class CallerRetryPolicy {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Notes that a request was answered well.
+     * Records a successful answer.
      *
-     * @param request the request; a call inside a chain is none of a caller
-     * @param nanos how long the answer took
+     * @param request the request; calls inside a chain are ignored, since they come from no caller
+     * @param nanos the response time, in nanoseconds
      */
     void recordAnswer(Request request, long nanos) {
         if (request.depth() == 0) {
@@ -38,27 +38,30 @@
     }
 
     /**
-     * Tells whether a request goes before new ones, since its caller came back. One that will be late all the same goes
-     * with the new ones: it would take a place from one of them that can be served in time.
+     * Returns whether a request is prioritized over new ones, since its caller retries after a Retry-After. A request
+     * that will miss its target latency anyway is not: it would take a slot from a new one that can be served in time.
      */
     boolean prioritized(Request request, long nowNanos) {
         return request.returning() && slackNanos(request, nowNanos) >= 0;
     }
 
     /**
-     * Words when the caller may come back. The time of a request that is held back stays: any sooner it would only be
+     * Sets the Retry-After delay of a refusal. The delay of a quarantined request stays: an earlier retry would only be
      * refused again.
      */
     Refusal withRetryAfter(Request request, Refusal refusal, long nowNanos) {
-        boolean bidden = refusal.retryAfterMillis() > 0 && refusal.reason() != RefusalReason.QUARANTINED;
-        if (request.depth() > 0 || !bidden) {
+        boolean hasRetryAfter = refusal.retryAfterMillis() > 0 && refusal.reason() != RefusalReason.QUARANTINED;
+        if (request.depth() > 0 || !hasRetryAfter) {
             return refusal;
         }
-        long spareMillis = slackNanos(request, nowNanos) / NANOS_PER_MILLI;
-        return refusal.withRetryAfter(RetryDelay.millis(refusal.retryAfterMillis(), spareMillis, random.get()));
+        long slackMillis = slackNanos(request, nowNanos) / NANOS_PER_MILLI;
+        return refusal.withRetryAfter(RetryDelay.millis(refusal.retryAfterMillis(), slackMillis, random.get()));
     }
 
-    /** How long a request can still wait and be answered within its target latency; below 0 when it will be late. */
+    /**
+     * Returns how long a request can still wait and be answered within its target latency; negative when it will be
+     * late.
+     */
     private long slackNanos(Request request, long nowNanos) {
         return request.dueNanos() - nowNanos - answerTimes.typicalNanos(kind(request));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/ChainObserver.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/ChainObserver.java
@@ -1,34 +1,34 @@
 package org.verbenadyke.kernel.dispatch;
 
 /**
- * Learns what came of the calls that an upstream makes while it serves one call.
+ * Observes the calls that an upstream makes while it serves one call.
  */
 public interface ChainObserver {
     /**
-     * Takes notice of a service that the calls below lead to.
+     * Called when a nested call reaches a service, at any depth.
      *
      * @param service the service
      */
-    void leadsTo(String service);
+    void serviceReached(String service);
 
-    /** Takes notice that a call below failed for good. */
+    /** Called when a nested call has failed and won't be retried. */
     void childFailed();
 
     /**
-     * Returns an observer for requests that enter here.
+     * Returns an observer for requests that enter the system at this node and so have no calling node.
      *
      * @return an observer that ignores everything
      */
     static ChainObserver none() {
         return new ChainObserver() {
             @Override
-            public void leadsTo(String service) {
-                // Nobody above is to be told.
+            public void serviceReached(String service) {
+                // No calling node to report to.
             }
 
             @Override
             public void childFailed() {
-                // Nobody above is to be told.
+                // No calling node to report to.
             }
         };
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CreditAccumulator.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/CreditAccumulator.java
@@ -3,7 +3,8 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Gathers what a caller allows of an answer's body, so that it is passed on in pieces worth a message.
+ * Accumulates the flow-control credit that a caller grants for an answer's body, so that credit is replenished in
+ * amounts worth a message.
  */
 final class CreditAccumulator {
     private static final int MIN_MESSAGE_BYTES = 64 * 1024;
@@ -14,7 +15,7 @@
         pendingBytes += bytes;
     }
 
-    /** Passes the credit on to the node beside the upstream, once there is enough. */
+    /** Sends the accumulated credit to the called node, once there is enough. */
     void flush(Attempt attempt) {
         if (attempt != null && attempt.sent() && pendingBytes >= MIN_MESSAGE_BYTES) {
             attempt.link().send(new Message.Credit(attempt.id(), pendingBytes));
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -22,8 +22,7 @@
 import org.verbenadyke.kernel.time.Subscription;
 
 /**
- * One request on its way: routes it, retries it within its budget and passes its answer on. Everything happens inside a
- * serial runner, so its fields need no other protection.
+ * One request in flight: routed, retried within its budget and answered. All fields are confined to a serial executor.
  */
 final class Dispatch implements CallHandle {
     private static final int MAX_REROUTES = 3;
@@ -133,7 +132,7 @@
         switch (parts.router().route(query, parts.timers().nanos())) {
             case Choice.To to -> openAttempt(dispatcher.open(this, to.candidate()));
             case Choice.Shed shed -> {
-                request.observer().leadsTo(request.service());
+                request.observer().serviceReached(request.service());
                 refuse(RefusalReason.SHED_EARLY);
             }
             case Choice.Nowhere n -> refuse(RefusalReason.NO_UPSTREAM);
@@ -142,8 +141,8 @@
 
     private void openAttempt(Attempt attempt) {
         current = attempt;
-        if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held held) {
-            finishRefused(parts.quarantine().refusal(request.id(), held));
+        if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held quarantined) {
+            finishRefused(parts.quarantine().refusal(request.id(), quarantined));
             return;
         }
         parts.links().acquire(attempt.candidate().upstream().node(), link -> serial.run(() -> send(attempt, link)));
@@ -169,9 +168,9 @@
         if (link.get().closed()) {
             handleLinkLoss(attempt);
         }
-        long patience = dispatcher.settings().tryNanos();
-        if (patience > 0 && request.idempotent()) {
-            parts.timers().after(patience, () -> serial.run(() -> attemptTimedOut(attempt)));
+        long timeout = dispatcher.settings().tryNanos();
+        if (timeout > 0 && request.idempotent()) {
+            parts.timers().after(timeout, () -> serial.run(() -> attemptTimedOut(attempt)));
         }
     }
 
@@ -190,7 +189,7 @@
         if (!RetryRules.isServerError(m.status())) {
             attempt.candidate().succeeded(now - attempt.startNanos());
             dispatcher.retryRatio(request).succeeded();
-            dispatcher.callerRetryPolicy().recordAnswer(request, now - attempt.startNanos());
+            dispatcher.callerRetries().recordAnswer(request, now - attempt.startNanos());
             commit(attempt, m);
             return;
         }
@@ -216,9 +215,9 @@
         committed = true;
         deadline.cancel();
         sink.head(m.status(), m.headers());
-        List<Message> held = List.copyOf(attempt.deferredMessages());
+        List<Message> deferred = List.copyOf(attempt.deferredMessages());
         attempt.deferredMessages().clear();
-        held.forEach(h -> handle(attempt, h));
+        deferred.forEach(d -> handle(attempt, d));
     }
 
     private void onData(Attempt attempt, Message.Data m) {
@@ -320,12 +319,12 @@
         routeNext(current);
     }
 
-    private void requestRetry(RetryReason reason, Runnable otherwise) {
+    private void requestRetry(RetryReason reason, Runnable ifDenied) {
         awaitingRetryDecision = true;
-        RetryPermit.request(dispatcher, request, reason, granted -> serial.run(() -> onRetryDecision(granted, reason, otherwise)));
+        RetryPermit.request(dispatcher, request, reason, ok -> serial.run(() -> onDecision(ok, reason, ifDenied)));
     }
 
-    private void onRetryDecision(boolean granted, RetryReason reason, Runnable otherwise) {
+    private void onDecision(boolean granted, RetryReason reason, Runnable ifDenied) {
         awaitingRetryDecision = false;
         if (finished) {
             return;
@@ -342,7 +341,7 @@
             }
             return;
         }
-        otherwise.run();
+        ifDenied.run();
         if (!finished && current.link().closed()) {
             handleLinkLoss(current);
         }
@@ -382,10 +381,12 @@
     }
 
     private void finishRefused(Refusal refusal) {
-        Refusal told = runState == RunState.NOT_RUN ? refusal : refusal.withState(runState);
+        Refusal given = runState == RunState.NOT_RUN ? refusal : refusal.withState(runState);
         request.observer().childFailed();
-        parts.counters().refused(told.state(), told.reason());
-        sink.refused(dispatcher.callerRetryPolicy().withRetryAfter(request, told, parts.timers().nanos()));
+        parts.counters().refused(given.state(), given.reason());
+        sink.refused(dispatcher
+                .callerRetries()
+                .withRetryAfter(request, given, parts.timers().nanos()));
         finish();
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
@@ -1,15 +1,16 @@
 package org.verbenadyke.kernel.dispatch;
 
 /**
- * How requests are retried.
+ * Settings for retries of requests.
  *
- * @param ratio retries per success between a pair of services; 0 or less turns the bound off
- * @param burst how many of them can be saved up
- * @param perHop whether each hop retries by itself, as the baseline does
- * @param tryNanos after how long one try counts as lost, in nanoseconds; 0 to wait until the deadline
- * @param everyRetryCounts whether the ratio also bounds the retries after a lost connection
- * @param callsExempt whether calls inside a chain are sent whatever level their upstream reports
- * @param retryAfterMillis the least time after which a refused caller may come back, in milliseconds
+ * @param ratio retries allowed per success between a pair of services; 0 or less disables the limit
+ * @param burst how many of the allowed retries can be saved up
+ * @param perHop whether each hop retries on its own, as in the baseline
+ * @param tryNanos the timeout of one attempt, in nanoseconds; 0 to wait until the deadline
+ * @param everyRetryCounts whether the ratio also limits the retries after a lost connection
+ * @param callsExempt whether calls inside a chain are sent regardless of the admission level that their upstream
+ *     reports
+ * @param retryAfterMillis the minimum Retry-After delay of a refused caller, in milliseconds
  */
 public record DispatchSettings(
         double ratio,
@@ -25,7 +26,7 @@
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @return the settings
      */
@@ -34,11 +35,12 @@
     }
 
     /**
-     * Returns the settings of the baseline.
+     * Returns the settings of the baseline, without a retry ratio.
      *
      * @return the settings
      */
     public static DispatchSettings baseline() {
-        return new DispatchSettings(0, 0, true, BASELINE_ATTEMPT_TIMEOUT_NANOS, false, false, DEFAULT_RETRY_AFTER_MILLIS);
+        return new DispatchSettings(
+                0, 0, true, BASELINE_ATTEMPT_TIMEOUT_NANOS, false, false, DEFAULT_RETRY_AFTER_MILLIS);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -30,10 +30,12 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * Sends requests to upstreams through the nodes beside them and matches the answers. Safe for many threads.
+ * Sends requests to upstreams through the nodes colocated with them and matches the answers. Thread-safe.
  */
 public final class Dispatcher {
-    /** How long a call waits whose key has just changed its owner, in nanoseconds: some rounds between nodes. */
+    /**
+     * How long a call waits whose key has just moved to another owner, in nanoseconds: a few exchanges between nodes.
+     */
     private static final long KEY_OWNER_CHANGE_PAUSE_NANOS = 50_000_000L;
 
     private final Parts parts;
@@ -41,19 +43,19 @@
     private final AtomicLong sequence = new AtomicLong();
     private final Map<CallId, Attempt> attempts = new ConcurrentHashMap<>();
     private final Map<Pair, RatioBudget> retryRatios = new ConcurrentHashMap<>();
-    private final CallerRetryPolicy callerRetryPolicy;
+    private final CallerRetryPolicy callerRetries;
 
     private Dispatcher(Parts parts, DispatchSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.callerRetryPolicy = CallerRetryPolicy.with(parts.random);
+        this.callerRetries = CallerRetryPolicy.with(parts.random);
     }
 
     /**
      * Creates a dispatcher.
      *
-     * @param parts what it works with
-     * @param settings how it retries
+     * @param parts the collaborators
+     * @param settings the retry settings
      * @return the dispatcher
      */
     public static Dispatcher create(Parts parts, DispatchSettings settings) {
@@ -64,8 +66,8 @@
      * Sends a request.
      *
      * @param request the request
-     * @param sink takes its answer
-     * @return the handle to steer it by
+     * @param sink receives the answer
+     * @return the handle that controls the request
      */
     public CallHandle dispatch(Request request, AnswerSink sink) {
         Dispatch dispatch = new Dispatch(this, request, sink);
@@ -74,10 +76,10 @@
     }
 
     /**
-     * Takes a message that belongs to an attempt.
+     * Handles a message that belongs to an attempt.
      *
-     * @param link the link it came by
-     * @param message a head, data, end, refusal or question for budget
+     * @param link the link on which the message arrived
+     * @param message a head, data, end, refusal or request for retry budget
      */
     public void received(Link link, Message message) {
         Optional<CallId> id = idOf(message);
@@ -90,7 +92,7 @@
     }
 
     /**
-     * Takes notice that a link has ended.
+     * Called when a link has closed.
      *
      * @param link the link
      */
@@ -103,9 +105,9 @@
     }
 
     /**
-     * Returns the attempts under way.
+     * Returns the attempts in flight.
      *
-     * @return their number
+     * @return the number of attempts
      */
     public int underWay() {
         return attempts.size();
@@ -134,28 +136,34 @@
         }
     }
 
-    /** The rank that a request is routed by; a call inside a chain passes every level if the settings say so. */
+    /**
+     * Returns the rank that a request is routed by; a call inside a chain gets a rank above every admission level if
+     * the settings exempt such calls.
+     */
     int rank(Request request) {
         boolean exempt = settings.callsExempt() && request.depth() > 0;
         if (exempt) {
             return Importance.RANKS;
         }
-        return request.importance().rank(request.id(), callerRetryPolicy.prioritized(request, parts.timers.nanos()));
+        return request.importance().rank(request.id(), callerRetries.prioritized(request, parts.timers.nanos()));
     }
 
-    CallerRetryPolicy callerRetryPolicy() {
-        return callerRetryPolicy;
+    CallerRetryPolicy callerRetries() {
+        return callerRetries;
     }
 
-    /** Lists the upstreams that a request shall not go to: where it was tried, or all but the one that may try it. */
+    /**
+     * Returns the upstreams that a request must not be sent to: those already tried, or, for a quarantined request on
+     * trial, all but the one that runs the trial.
+     */
     Set<String> excludedUpstreams(Request request, Set<String> tried) {
-        Optional<String> trial = parts.quarantine.trialUpstream(request.content(), request.service());
-        if (trial.isEmpty()) {
+        Optional<String> trialUpstream = parts.quarantine.trialUpstream(request.content(), request.service());
+        if (trialUpstream.isEmpty()) {
             return tried;
         }
         return parts.router.candidates().stream()
                 .map(c -> c.upstream().id())
-                .filter(id -> !id.equals(trial.get()))
+                .filter(id -> !id.equals(trialUpstream.get()))
                 .collect(Collectors.toSet());
     }
 
@@ -194,17 +202,17 @@
     }
 
     /**
-     * What a dispatcher works with.
+     * The collaborators of a dispatcher.
      *
-     * @param incarnation drawn anew at each start of the process
-     * @param timers the time
+     * @param incarnation identifies this start of the process; drawn at random at each start
+     * @param timers the clock and timers
      * @param router chooses upstreams
-     * @param links where links come from
-     * @param random where each thread's randomness comes from
-     * @param counters where refusals and retries are counted
-     * @param ledger checks the promises
-     * @param decisions takes what is to be explained later
-     * @param quarantine holds requests back under which upstreams end
+     * @param links opens links to other nodes
+     * @param random supplies the random generator of the current thread
+     * @param counters counts refusals and retries
+     * @param ledger checks the guarantees, such as at most one run
+     * @param decisions records decisions for later explanation
+     * @param quarantine quarantines requests that crash upstreams
      */
     public record Parts(
             long incarnation,
@@ -218,13 +226,13 @@
             Quarantine quarantine) {}
 
     /**
-     * A calling and a called service.
+     * A calling service and a called service.
      *
      * @param caller the calling service
-     * @param service the called one
+     * @param service the called service
      */
     private record Pair(String caller, String service) {
-        // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+        // Written out: the record's own methods are generated at their first use, which slows the start of a process.
         @Override
         public boolean equals(Object other) {
             return other instanceof Pair o && caller.equals(o.caller) && service.equals(o.service);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -10,9 +10,9 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * Asks over a new connection what became of an attempt that must not run twice. The answer is the kept answer, a
- * refusal that tells whether it ran, or a seal: the attempt never started and never will. A process that can't know, as
- * one that started after the attempt was sent, says that it may have run.
+ * Inquires over a new connection about an attempt that must not run twice. The called node replies with the stored
+ * answer, with a refusal that carries the execution status, or with a seal: the attempt never started and never will. A
+ * process that can't know, such as one that started after the attempt was sent, replies that the attempt may have run.
  */
 final class Inquiry {
     private static final long RECONNECT_PAUSE_NANOS = 50_000_000L;
@@ -32,7 +32,7 @@
         this.onLinkLoss = lost;
     }
 
-    /** Asks, again and again until a link is had or nobody wants to know any more. */
+    /** Sends the inquiry, reconnecting until a link is available or the request no longer needs the result. */
     static void start(
             Dispatcher.Parts parts, Attempt attempt, Serial serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
         parts.counters().count(Event.INQUIRED);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Request.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Request.java
@@ -6,21 +6,21 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * A request to be sent to some upstream of a service.
+ * A request to be sent to any upstream of a service.
  *
- * @param id the request of the whole chain
- * @param caller the service of the calling upstream, empty for callers from outside
- * @param service the service called
- * @param content what the upstream gets
- * @param importance how much it matters
- * @param depth how many calls lie above it
- * @param deadlineNanos when nobody waits any more, on the local clock
- * @param dueNanos when its target latency passes, on the local clock; the deadline if it has none
- * @param idempotent whether it may run more than once
+ * @param id the id that all calls of the chain share
+ * @param caller the service of the calling upstream, empty for a request from an external caller
+ * @param service the called service
+ * @param content the request that the upstream receives
+ * @param importance the importance of the request
+ * @param depth the depth in the call chain, 0 for a request from a caller
+ * @param deadlineNanos the deadline, on the local clock
+ * @param dueNanos when the target latency passes, on the local clock; the deadline if there is no target latency
+ * @param idempotent whether the request may run more than once
  * @param key the idempotency key, empty if none
- * @param returning whether its caller was refused before and came back later
- * @param budget where retries come from
- * @param observer who learns what came of it
+ * @param returning whether the caller was refused before and retries after a Retry-After
+ * @param budget the retry budget
+ * @param observer is notified of the outcome
  */
 public record Request(
         RequestId id,
@@ -37,7 +37,7 @@
         RetryBudget budget,
         ChainObserver observer) {
     /**
-     * Returns the class that admission levels are kept for: method and first segment of the path.
+     * Returns the class of paths that admission levels are tracked by: method and first segment of the path.
      *
      * @return the class
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryAfter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryAfter.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads the times at which refused callers come back.
+ * Randomizes Retry-After delays, so that refused callers don't all retry at the same time.
  */
 public final class RetryAfter {
     private static final int MAX_FACTOR = 3;
@@ -11,16 +11,16 @@
     private RetryAfter() {}
 
     /**
-     * Draws a time.
+     * Draws a random delay.
      *
-     * @param leastMillis the least, in milliseconds
-     * @param random where randomness comes from
-     * @return a time from the least to three times the least, in milliseconds
+     * @param minMillis the minimum delay, in milliseconds
+     * @param random the random generator
+     * @return a delay between the minimum and three times the minimum, in milliseconds; 0 without a positive minimum
      */
-    public static long spread(long leastMillis, RandomGenerator random) {
-        if (leastMillis <= 0) {
+    public static long spread(long minMillis, RandomGenerator random) {
+        if (minMillis <= 0) {
             return 0;
         }
-        return leastMillis + random.nextLong(leastMillis * (MAX_FACTOR - 1) + 1);
+        return minMillis + random.nextLong(minMillis * (MAX_FACTOR - 1) + 1);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryDelay.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryDelay.java
@@ -3,32 +3,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a refused caller is to come back.
+ * Chooses the Retry-After delay of a refused caller.
  *
- * <p>Load pattern: overload that lasts for seconds, and requests whose target latency is little more than their work. A
- * caller that comes back after the usual pause is then served late, and holds a place as long as one that is served in
- * time. So the pause ends while the answer can still come in time. A caller that has no such time left, or one so short
- * that it would only be refused again at once, is told the usual pause.
+ * <p>Load pattern: overload that lasts for seconds, and requests whose target latency is little more than their service
+ * time. A caller that retries after the usual delay is then served late, and holds a slot as long as one that is served
+ * in time. So the delay ends while the answer can still arrive in time. A caller without slack, or with so little that
+ * an immediate retry would be refused again, gets the usual delay.
  */
 final class RetryDelay {
-    /** The shortest time in which a load can have changed: some windows of the admission level, in milliseconds. */
+    /** The shortest time in which the load can have changed: a few windows of the admission level, in milliseconds. */
     private static final long MIN_MILLIS = 100;
 
     private RetryDelay() {}
 
     /**
-     * Chooses a time.
+     * Chooses a delay.
      *
-     * @param usualMillis the usual pause, drawn for this caller, in milliseconds
-     * @param spareMillis how long the caller can stay away and still be answered in time, in milliseconds
-     * @param random where randomness comes from
-     * @return the pause in milliseconds, spread so that callers don't come back together
+     * @param usualMillis the usual delay, drawn for the caller, in milliseconds
+     * @param slackMillis how long the caller can wait before the retry and still be answered in time, in milliseconds
+     * @param random the random generator
+     * @return the delay in milliseconds, randomized so that callers don't all retry at the same time
      */
-    static long millis(long usualMillis, long spareMillis, RandomGenerator random) {
-        if (spareMillis < MIN_MILLIS || usualMillis <= spareMillis) {
+    static long millis(long usualMillis, long slackMillis, RandomGenerator random) {
+        if (slackMillis < MIN_MILLIS || usualMillis <= slackMillis) {
             return usualMillis;
         }
-        long least = Math.max(MIN_MILLIS, spareMillis / 2);
-        return least + random.nextLong(spareMillis - least + 1);
+        long min = Math.max(MIN_MILLIS, slackMillis / 2);
+        return min + random.nextLong(slackMillis - min + 1);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
@@ -6,34 +6,35 @@
 import org.verbenadyke.kernel.call.RetryReason;
 
 /**
- * Asks whether a retry may be made: first the share of the pair of services, then the budget of the whole chain.
+ * Decides whether a retry is allowed: first by the retry ratio of the pair of services, then by the retry budget of the
+ * whole chain.
  */
 final class RetryPermit {
     private RetryPermit() {}
 
     /**
-     * Asks; the decision is told once, perhaps on another thread. A lost connection says nothing of the service's load,
-     * and no more is sent again than was in flight, so that only the chain's budget bounds it, unless the settings
-     * count every retry.
+     * Requests a retry. The callback receives the callback exactly once, possibly on another thread. A connectionLost
+     * connection is no sign of overload, and no more calls are sent again than were in flight, so only the budget of
+     * the chain limits such retries, unless the settings count every retry.
      */
-    static void request(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> decision) {
+    static void request(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> callback) {
         RatioBudget ratio = dispatcher.retryRatio(request);
-        boolean lost = reason == RetryReason.CONNECTION_LOST || reason == RetryReason.UPSTREAM_ENDED;
-        boolean counted = dispatcher.settings().everyRetryCounts() || !lost;
-        boolean bounded = dispatcher.settings().ratio() > 0 && counted;
-        if (bounded && !ratio.take()) {
+        boolean connectionLost = reason == RetryReason.CONNECTION_LOST || reason == RetryReason.UPSTREAM_ENDED;
+        boolean counted = dispatcher.settings().everyRetryCounts() || !connectionLost;
+        boolean limitedByRatio = dispatcher.settings().ratio() > 0 && counted;
+        if (limitedByRatio && !ratio.take()) {
             dispatcher.parts().counters().retried(RetryReason.DENIED_RATIO);
-            decision.accept(false);
+            callback.accept(false);
             return;
         }
         request.budget().spend(granted -> {
             if (!granted) {
-                if (bounded) {
+                if (limitedByRatio) {
                     ratio.putBack();
                 }
                 dispatcher.parts().counters().retried(RetryReason.DENIED_BUDGET);
             }
-            decision.accept(granted);
+            callback.accept(granted);
         });
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
@@ -3,7 +3,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Decides which failures may be tried again, and words the call that tries.
+ * Decides which failures may be retried, and builds the call of an attempt.
  */
 final class RetryRules {
     private static final long MAX_MARGIN_NANOS = 10_000_000L;
@@ -16,28 +16,32 @@
 
     private RetryRules() {}
 
-    /** Tells whether a status says that the upstream failed. */
+    /** Returns whether a status reports a failure of the upstream. */
     static boolean isServerError(int status) {
         return status >= SERVER_ERROR;
     }
 
-    /** Tells whether a status says that the upstream had no room. */
+    /** Returns whether a status reports that the upstream shed the call for lack of capacity. */
     static boolean isShed(int status) {
         return status == UNAVAILABLE;
     }
 
     /**
-     * Tells whether another attempt may mend a failed answer. An answer that settled a failure from further below is
-     * final; only the hop right above a failure retries it.
+     * Returns whether another attempt may turn a failed answer into a successful one. Only the direct caller of the
+     * failed upstream retries; an answer that reports a failure from deeper in the call chain, already retried there,
+     * is final.
      */
     static boolean isRetryable(Request request, Message.Head head, boolean perHop) {
         boolean settled = head.settled() && !perHop;
-        return request.idempotent() && !settled && head.status() != NOT_IMPLEMENTED && head.status() <= MAX_RETRYABLE_STATUS;
+        return request.idempotent()
+                && !settled
+                && head.status() != NOT_IMPLEMENTED
+                && head.status() <= MAX_RETRYABLE_STATUS;
     }
 
     /**
-     * Words the call. Its time to live ends a little before the sender's deadline, so that the refusal at its end comes
-     * from the node that knows whether the call ran.
+     * Builds the call. Its time to live ends a little before the sender's deadline, so that the refusal at the deadline
+     * comes from the called node, which knows whether the call ran.
      */
     static Message.Call buildCall(Request request, Attempt attempt, long nowNanos) {
         long leftNanos = request.deadlineNanos() - nowNanos;
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicyTest.java
@@ -44,7 +44,7 @@
     void setsARetryAfterWithinTheTargetLatency() {
         policy.recordAnswer(request(0, 600, false), 240 * MILLI);
         long millis = policy.withRetryAfter(request(0, 600, false), REFUSAL, 0).retryAfterMillis();
-        assertTrue(millis >= 180 && millis <= 360, "comes back after " + millis);
+        assertTrue(millis >= 180 && millis <= 360, "retries after " + millis);
     }
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -51,7 +51,7 @@
                     9,
                     clock,
                     router,
-                    (endpoint, taker) -> taker.accept(Optional.of(link)),
+                    (endpoint, callback) -> callback.accept(Optional.of(link)),
                     () -> random,
                     counters,
                     Ledger.watching(b -> got.add("breach " + b)),
@@ -191,7 +191,9 @@
         assertTrue(got.get(1).startsWith("refused NOT_RUN SHED_EARLY"), got.toString());
     }
 
-    /** It never came to the upstream, so that it is no retry; another one may have room for its rank. */
+    /**
+     * The call never reached the upstream, so sending it elsewhere is no retry; another upstream may admit its rank.
+     */
     @Test
     void reroutesACallThatAnAdmissionLevelRefused() {
         send(false, 0);
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -28,7 +28,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests a filing that was refused as not run and whose connection is lost while a retry is asked for further up. */
+/**
+ * Guards against a call that was refused as not run but reported as possibly run: its connection is lost while the
+ * calling node still decides whether to grant a retry.
+ */
 final class RefusedThenLostTest {
     private static final long MILLI = 1_000_000L;
     private static final Place PLACE = new Place("r", "d");
@@ -45,7 +48,7 @@
                     9,
                     clock,
                     router,
-                    (endpoint, taker) -> taker.accept(Optional.of(link)),
+                    (endpoint, callback) -> callback.accept(Optional.of(link)),
                     () -> random,
                     Counters.create(),
                     Ledger.off(),
