--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -12,8 +12,9 @@
 import org.verbenadyke.kernel.once.KeptAnswer;
 
 /**
- * Writes one answer to the node above: in fragments as the caller allows them, or, for a call that may run only once,
- * whole from a kept copy that can be sent again. A kept answer that grows too large is streamed like any other.
+ * Writes one answer to the calling node. The answer of an idempotent call is streamed as flow-control credit allows.
+ * The answer of a non-idempotent call is stored and sent as a whole, so that it can be sent again; once it exceeds the
+ * maximum size, it is streamed like any other.
  */
 final class AnswerWriter {
     private final CallId id;
@@ -25,14 +26,14 @@
     private Message.Head head;
     private ByteArrayOutputStream stored = new ByteArrayOutputStream(0);
 
-    AnswerWriter(CallId id, ServeSettings settings, boolean keeping) {
+    AnswerWriter(CallId id, ServeSettings settings, boolean storing) {
         this.id = id;
         this.maxStoredBytes = settings.maxStoredBytes();
         this.credit = settings.initialCreditBytes();
-        this.storing = keeping;
+        this.storing = storing;
     }
 
-    /** Adds credit and tells whether sending can go on now that could not before. */
+    /** Adds credit and returns whether that unblocks sending. */
     boolean credit(int bytes) {
         boolean blocked = !wantsMore();
         credit += bytes;
@@ -73,7 +74,7 @@
         }
     }
 
-    /** Sends the outcome of another try as this one's answer. */
+    /** Sends the stored answer of an earlier attempt as the answer. */
     void writeWhole(KeptAnswer.Whole whole, Link link, Message.Report report) {
         head = new Message.Head(id, whole.status(), whole.headers(), true, report);
         stored.writeBytes(whole.body());
@@ -81,7 +82,7 @@
         sendStored(link);
     }
 
-    /** Sends the answer again over another link; false when there is none to send. */
+    /** Sends the stored answer again over another link; returns false when no complete answer is stored. */
     boolean replay(Link link, Supplier<Message.Report> report) {
         if (!complete || !storing) {
             return false;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallContext.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallContext.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * What the calls of an upstream inherit from the call it serves. The upstream only knows the token.
+ * The context that an upstream's nested calls inherit from the call it serves. The upstream sees only the token.
  */
 public final class CallContext implements ChainObserver {
     private final String token;
@@ -36,10 +36,10 @@
     /**
      * Creates the context of a received call.
      *
-     * @param token the token that names it
+     * @param token the token that identifies the context
      * @param call the call
-     * @param deadlineNanos when nobody waits for it any more, on the local clock
-     * @param link the link to the node above
+     * @param deadlineNanos the deadline of the call, on the local clock
+     * @param link the link to the calling node
      * @return the context
      */
     public static CallContext of(String token, Message.Call call, long deadlineNanos, Supplier<Link> link) {
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Returns the request of the chain.
+     * Returns the id that all calls of the chain share.
      *
-     * @return the request
+     * @return the request's id
      */
     public RequestId request() {
         return request;
@@ -76,7 +76,7 @@
     /**
      * Returns the depth of the served call.
      *
-     * @return how many calls lie above it
+     * @return the depth in the call chain, 0 for a request from a caller
      */
     public int depth() {
         return depth;
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Returns the budget that all calls below draw on.
+     * Returns the retry budget that all nested calls share.
      *
      * @return the budget
      */
@@ -101,16 +101,16 @@
     }
 
     /**
-     * Tells whether a call below failed for good.
+     * Returns whether a nested call has failed and won't be retried.
      *
-     * @return whether one did
+     * @return whether one has
      */
     public boolean hasFailedChild() {
         return childFailed;
     }
 
     /**
-     * Returns the services that the calls below led to.
+     * Returns the services that the nested calls reached.
      *
      * @return their names
      */
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public void leadsTo(String service) {
+    public void serviceReached(String service) {
         services.add(service);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -26,7 +26,7 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * Serves the calls of other nodes for the upstream beside this one. Safe for many threads.
+ * Serves the calls of other nodes for the colocated upstream. Thread-safe.
  */
 public final class CallServer {
     private final Parts parts;
@@ -47,8 +47,8 @@
     /**
      * Creates a server without an upstream.
      *
-     * @param parts what it works with
-     * @param settings how calls are served
+     * @param parts the collaborators
+     * @param settings the settings for served calls
      * @return the server
      */
     public static CallServer create(Parts parts, ServeSettings settings) {
@@ -64,13 +64,13 @@
         this.upstream = local;
     }
 
-    /** Forgets the upstream: it is gone, and no other has announced itself yet. */
+    /** Detaches the upstream: it is gone, and no other has announced itself yet. */
     public void detach() {
         this.upstream = null;
     }
 
     /**
-     * Returns the upstream beside this node.
+     * Returns the colocated upstream.
      *
      * @return the upstream, if one announced itself
      */
@@ -79,19 +79,19 @@
     }
 
     /**
-     * Finds what a token stands for.
+     * Returns the context that a token identifies.
      *
      * @param token the token that an upstream copied to its call
-     * @return the context, empty when the call it names has ended
+     * @return the context, empty when its call has ended
      */
     public Optional<CallContext> context(String token) {
         return Optional.ofNullable(contexts.get(token));
     }
 
     /**
-     * Takes a message of a node above.
+     * Handles a message of a calling node.
      *
-     * @param link the link it came by
+     * @param link the link on which the message arrived
      * @param message a call, credit, cancellation, grant or inquiry
      */
     public void received(Link link, Message message) {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Takes notice that a link has ended.
+     * Called when a link has closed.
      *
      * @param link the link
      */
@@ -119,16 +119,16 @@
     }
 
     /**
-     * Returns the calls that are not finished.
+     * Returns the number of unfinished calls.
      *
-     * @return their number
+     * @return the number
      */
     public long unfinished() {
         return calls.values().stream().filter(c -> !c.finished()).count();
     }
 
     /**
-     * Forgets what is past its time; called at least every fence period, by one thread at a time.
+     * Evicts expired state. Called by one thread at a time, at intervals of {@link #sweepNanos}.
      */
     public void sweep() {
         seenCalls.rotate(parts.timers::nanos);
@@ -138,9 +138,10 @@
     }
 
     /**
-     * Returns the least period between two sweeps, so that no id is forgotten before its copies are fenced.
+     * Returns the minimum interval between two sweeps. A shorter one could evict an id while a delayed copy of its call
+     * still passes the freshness check.
      *
-     * @return the period in nanoseconds
+     * @return the interval in nanoseconds
      */
     public long sweepNanos() {
         return settings.maxTtlNanos() + settings.fenceGraceNanos();
@@ -225,8 +226,8 @@
     }
 
     /**
-     * Notes what an upstream had when it ended, and returns what to call that. One that was leaving ends as planned,
-     * with whatever it still has; that says nothing of its calls.
+     * Records that an upstream crashed with a call in flight, and returns the reason for the refusal. A draining
+     * upstream ends as planned, with calls possibly still in flight; its end says nothing about those calls.
      */
     RefusalReason recordCrash(Message.Call call, LocalUpstream local) {
         if (local.draining()) {
@@ -239,7 +240,7 @@
         return RefusalReason.UPSTREAM_ENDED;
     }
 
-    /** Returns where calls run one at a time under which upstreams have ended. */
+    /** Returns the queue in which calls that may have crashed upstreams run one at a time. */
     SuspectQueue suspectQueue() {
         return suspectQueue;
     }
@@ -276,7 +277,7 @@
         incoming.start();
     }
 
-    /** Refuses a call of which nothing but its fate is kept. */
+    /** Refuses a call and retains only that it never ran. */
     private void refuseUntracked(Link link, Message.Call call, RefusalReason reason) {
         seenCalls.neverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
@@ -289,17 +290,18 @@
             call.rebind(link);
             return;
         }
-        Refusal fate =
-                sealIfNeverRun(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
-        parts.decisions.note(new Decision.FateTold(id, fate.state(), fate.reason(), parts.incarnation));
-        refuse(link, id, fate, report(Optional.empty()));
+        Refusal refusal = sealIfNeverRun(inquiry)
+                ? notRun(RefusalReason.SEALED)
+                : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
+        parts.decisions.note(new Decision.FateTold(id, refusal.state(), refusal.reason(), parts.incarnation));
+        refuse(link, id, refusal, report(Optional.empty()));
     }
 
     /**
-     * Tells whether an attempt was turned away or never arrived, and sees to it that it never runs. An unknown id
-     * proves that it never arrived only to the process that the attempt was sent to, and only while that process keeps
-     * ids of that age. A process that had started anew would seal what the one before it ran, and so give it a second
-     * run.
+     * Returns whether an attempt was refused or never arrived, and ensures that it never runs. An unknown id proves
+     * that the attempt never arrived only in the process that the attempt was sent to, and only while that process
+     * retains ids of that age. A restarted process would otherwise seal an attempt that the previous process ran, and
+     * so cause a second run.
      */
     private boolean sealIfNeverRun(Message.Inquire inquiry) {
         CallId id = inquiry.id();
@@ -317,17 +319,17 @@
     }
 
     /**
-     * What a server works with.
+     * The collaborators of a call server.
      *
-     * @param incarnation drawn anew at each start of the process
-     * @param timers the time
-     * @param random where each thread's randomness comes from
-     * @param counters where refusals are counted
-     * @param ledger checks the promises
-     * @param levels what is known of the levels of the services below
-     * @param keys decides and asks about the owners of keys
-     * @param decisions takes what is to be explained later
-     * @param quarantine holds requests back under which upstreams end
+     * @param incarnation identifies this start of the process; drawn at random at each start
+     * @param timers the clock and timers
+     * @param random supplies the random generator of the current thread
+     * @param counters counts refusals
+     * @param ledger checks the guarantees, such as at most one run
+     * @param levels the known admission levels of the services deeper in the call chain
+     * @param keys claims keys, after querying their former owners
+     * @param decisions records decisions for later explanation
+     * @param quarantine quarantines requests that crash upstreams
      */
     public record Parts(
             long incarnation,
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
@@ -9,7 +9,10 @@
 final class CallTimes {
     private static final long NANOS_PER_MICRO = 1_000L;
 
-    /** How many of the longest times to live a call that must run once may outlast its deadline at the upstream. */
+    /**
+     * How long a non-idempotent call may run at the upstream after its deadline, in multiples of the maximum time to
+     * live.
+     */
     private static final int NON_IDEMPOTENT_EXTRA_TTLS = 2;
 
     private final Message.Call call;
@@ -27,7 +30,7 @@
         this.deadlineNanos = receivedNanos + ttl;
     }
 
-    /** Notes that a call is received now. */
+    /** Creates the times of a call that has just been received. */
     static CallTimes receivedNow(Message.Call call, TimerService timers, ServeSettings settings) {
         return new CallTimes(call, timers, settings);
     }
@@ -48,17 +51,17 @@
         return receivedNanos + call.dueMicros() * NANOS_PER_MICRO;
     }
 
-    /** Tells whether the call may have waited unseen for longer than its time to live. */
+    /** Returns whether the call may have waited unread for longer than its time to live. */
     boolean isStale() {
         return Freshness.isStale(call, now(), settings.fenceGraceNanos());
     }
 
-    /** Returns how long a call that must run once is still awaited after its deadline. */
+    /** Returns how long a non-idempotent call may keep running after its deadline. */
     long graceAfterDeadline() {
         return settings.maxTtlNanos() * NON_IDEMPOTENT_EXTRA_TTLS;
     }
 
-    /** Tells whether that time is over, too. */
+    /** Returns whether the grace period after the deadline is over as well. */
     boolean graceExpired() {
         return now() - deadlineNanos >= graceAfterDeadline();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/Fingerprint.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/Fingerprint.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.routing.Rendezvous;
 
 /**
- * Hashes what a call asks for, to tell a resend from another use of the same key.
+ * Hashes the request of a call, to distinguish a resend from another use of the same key.
  */
 final class Fingerprint {
     private Fingerprint() {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
@@ -7,8 +7,8 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Finds an answer that has begun and makes no progress though more of it is wanted. Runs inside the serial runner of
- * its call.
+ * Detects an answer that has begun but makes no progress although more data was requested. Runs inside the serial
+ * executor of its call.
  */
 final class IdleTimeout implements Subscription {
     private final TimerService timers;
@@ -20,20 +20,21 @@
     private Subscription timer;
     private boolean stopped;
 
-    private IdleTimeout(TimerService timers, long mostNanos, Serial serial, BooleanSupplier wanting, Runnable expired) {
+    private IdleTimeout(
+            TimerService timers, long timeoutNanos, Serial serial, BooleanSupplier expectingMore, Runnable onExpired) {
         this.timers = timers;
-        this.timeoutNanos = mostNanos;
+        this.timeoutNanos = timeoutNanos;
         this.serial = serial;
-        this.expectingMore = wanting;
-        this.onExpired = expired;
+        this.expectingMore = expectingMore;
+        this.onExpired = onExpired;
         this.progressNanos = timers.nanos();
     }
 
-    /** Starts to watch; {@code expired} is run at most once, in the serial runner. */
+    /** Starts the timeout; {@code onExpired} is run at most once, in the serial executor. */
     static IdleTimeout start(
-            TimerService timers, long mostNanos, Serial serial, BooleanSupplier wanting, Runnable expired) {
-        IdleTimeout timeout = new IdleTimeout(timers, mostNanos, serial, wanting, expired);
-        timeout.arm(mostNanos);
+            TimerService timers, long timeoutNanos, Serial serial, BooleanSupplier expectingMore, Runnable onExpired) {
+        IdleTimeout timeout = new IdleTimeout(timers, timeoutNanos, serial, expectingMore, onExpired);
+        timeout.arm(timeoutNanos);
         return timeout;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -19,7 +19,7 @@
 import org.verbenadyke.kernel.time.Subscription;
 
 /**
- * One call received from a node above. Everything happens inside a serial runner; only the link is read from elsewhere.
+ * One call received from a calling node. Runs inside a serial executor; only the link is read by other threads.
  */
 final class IncomingCall implements Waiting, UpstreamPort.Listener, KeyedAttempt.Host, SuspectQueue.SuspectedCall {
     private static final int UNAVAILABLE = 503;
@@ -123,7 +123,7 @@
         });
     }
 
-    /** Gives the answer, or what is known of it, over a new link. */
+    /** Sends the answer, or the refusal if there is no answer, over a new link. */
     void rebind(Link newLink) {
         serial.run(() -> {
             link = newLink;
@@ -194,7 +194,7 @@
             headNanos = times.now();
             timer.cancel();
             idle = IdleTimeout.start(
-                    server.parts().timers(), server.settings().answerIdleNanos(), serial, answer::wantsMore, this::onIdle);
+                    server.parts().timers(), server.settings().stallNanos(), serial, answer::wantsMore, this::onIdle);
             timer = idle;
             Message.Head head = new Message.Head(call.id(), newStatus, headers, context.hasFailedChild(), report());
             answer.head(head, link);
@@ -291,7 +291,9 @@
         exchange = local.port().start(server.handOver(call, context, times.deadline() - handedOverNanos), this);
     }
 
-    /** Refuses the call if it is too late, or leaves it waiting if it must not run beside another. */
+    /**
+     * Refuses the call if it is too late, or leaves it waiting if it must not run concurrently with another suspect.
+     */
     private boolean refusedOrDelayed() {
         boolean late = handedOverNanos >= times.deadline();
         if (late || times.isStale()) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
@@ -5,44 +5,44 @@
 import org.verbenadyke.kernel.once.KeyTable;
 
 /**
- * Claims keys for tries, after making sure that no other node may have run an earlier one.
+ * Claims keys for attempts, after ensuring that no other node may have run an earlier attempt.
  */
 public interface KeyClaims {
     /**
      * Claims a key.
      *
-     * @param local the upstream beside this node
+     * @param local the colocated upstream
      * @param key the key
-     * @param fingerprint a hash of what the try asks for
-     * @param taker is told once what came of it
+     * @param fingerprint a hash of the request that uses the key
+     * @param callback called exactly once, with the outcome
      */
-    void claim(LocalUpstream local, String key, long fingerprint, Consumer<Outcome> taker);
+    void claim(LocalUpstream local, String key, long fingerprint, Consumer<Outcome> callback);
 
     /**
-     * What came of a claim.
+     * The outcome of a claim.
      */
     sealed interface Outcome {
         /**
          * This node owns the key.
          *
-         * @param claim what its table says
+         * @param claim the result from the node's key table
          */
         record Owned(KeyTable.Claim claim) implements Outcome {}
 
         /** Another node owns the key. */
         record Elsewhere() implements Outcome {}
 
-        /** An earlier try may have run on a node that is gone. */
+        /** Ownership is in doubt: an earlier attempt may have run on a node that is gone. */
         record Uncertain() implements Outcome {}
     }
 
     /**
-     * Returns claims for a node that shares its keys with no other.
+     * Returns claims for a node that shares no keys with other nodes.
      *
      * @return the claims
      */
     static KeyClaims alone() {
-        return (local, key, fingerprint, taker) ->
-                taker.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, local.now())));
+        return (local, key, fingerprint, callback) ->
+                callback.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, local.now())));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
@@ -10,8 +10,8 @@
 import org.verbenadyke.kernel.once.KeyTable;
 
 /**
- * Settles a key after its try was handed over: the key is free again only when the upstream provably did not run the
- * try, or said so by answering that it is unavailable.
+ * Settles a key after its attempt was handed over. The key becomes free again only when the upstream provably did not
+ * run the attempt, or reported so by answering that it is unavailable.
  */
 final class KeySettlement {
     private static final int UNAVAILABLE = 503;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
@@ -8,7 +8,8 @@
 import org.verbenadyke.kernel.once.KeyTable;
 
 /**
- * Claims the idempotency key of a call before it may wait for a slot, or gives it the outcome of an earlier try.
+ * Claims the idempotency key of a call before the call may wait for a slot, or completes the call with the outcome of
+ * an earlier attempt.
  */
 final class KeyedAttempt {
     private final CallServer server;
@@ -26,8 +27,10 @@
     }
 
     static void begin(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
-        KeyedAttempt keyed = new KeyedAttempt(server, local, call, serial, host);
-        server.parts().keys().claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> keyed.onClaimed(c)));
+        KeyedAttempt attempt = new KeyedAttempt(server, local, call, serial, host);
+        server.parts()
+                .keys()
+                .claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> attempt.onClaimed(c)));
     }
 
     private void onClaimed(KeyClaims.Outcome outcome) {
@@ -47,34 +50,34 @@
     private void onDecided(KeyTable.Claim claim) {
         switch (claim) {
             case KeyTable.Claim.Granted g -> host.keyGranted();
-            case KeyTable.Claim.Taken t -> t.outcome().accept(kept -> serial.run(() -> onEarlierOutcome(kept)));
+            case KeyTable.Claim.Taken t -> t.outcome().accept(stored -> serial.run(() -> onEarlierOutcome(stored)));
             case KeyTable.Claim.Reused r -> host.refuseKeyed(server.notRun(RefusalReason.KEY_REUSED));
             case KeyTable.Claim.Sealed s -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
         }
     }
 
-    /** Gives the outcome of the earlier try. */
-    private void onEarlierOutcome(KeptAnswer kept) {
+    /** Completes the call with the outcome of the earlier attempt. */
+    private void onEarlierOutcome(KeptAnswer stored) {
         if (!host.waiting()) {
             return;
         }
-        switch (kept) {
+        switch (stored) {
             case KeptAnswer.Whole whole -> host.replayAnswer(whole);
             case KeptAnswer.Lost lost -> host.refuseKeyed(lost.refusal());
         }
     }
 
     /**
-     * The call that tries; asked inside its serial runner.
+     * The call that uses the key; invoked inside its serial executor.
      */
     interface Host {
-        /** Tells whether the call still waits. */
+        /** Returns whether the call still waits. */
         boolean waiting();
 
-        /** Goes on to wait for a slot: the key is this call's. */
+        /** Called when the call has been granted the key and may wait for a slot. */
         void keyGranted();
 
-        /** Answers with the answer of an earlier try. */
+        /** Answers with the stored answer of an earlier attempt. */
         void replayAnswer(KeptAnswer.Whole whole);
 
         /** Refuses the call. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * The upstream beside this node, as it announced itself.
+ * The colocated upstream, as it announced itself.
  */
 public final class LocalUpstream {
     private final String id;
@@ -29,14 +29,14 @@
     }
 
     /**
-     * Creates an upstream that takes work.
+     * Creates an upstream that accepts calls.
      *
      * @param id its id
      * @param service the service it serves
-     * @param port the way to it
-     * @param gate decides what it gets
-     * @param keys the keys it owns
-     * @param timers the time
+     * @param port the connection to the upstream
+     * @param gate admits calls to the upstream
+     * @param keys the keys that the upstream owns
+     * @param timers the clock
      * @return the upstream
      */
     public static LocalUpstream of(
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Returns the way to the upstream.
+     * Returns the connection to the upstream.
      *
      * @return the port
      */
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Returns the gate before the upstream.
+     * Returns the gate that admits calls to the upstream.
      *
      * @return the gate
      */
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Returns the keys the upstream owns.
+     * Returns the keys that the upstream owns.
      *
      * @return the table
      */
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Tells whether the upstream is leaving.
+     * Returns whether the upstream is draining.
      *
      * @return whether new calls are refused
      */
@@ -111,36 +111,36 @@
     }
 
     /**
-     * Tells whether the upstream had begun to leave at a time, and still does.
+     * Returns whether the upstream is draining and was so before a given time.
      *
      * @param nanos the time
-     * @return whether what arrived then must not be handed over
+     * @return whether a call that arrived at that time must not be handed over
      */
     public boolean drainingBefore(long nanos) {
         return draining && drainingSinceNanos < nanos;
     }
 
     /**
-     * Starts or ends leaving.
+     * Starts or ends draining.
      *
-     * @param leaving whether new calls are to be refused
+     * @param enabled whether new calls are refused
      */
-    public void drain(boolean leaving) {
-        if (leaving && !draining) {
+    public void drain(boolean enabled) {
+        if (enabled && !draining) {
             drainingSinceNanos = timers.nanos();
         }
-        if (!leaving && draining) {
+        if (!enabled && draining) {
             sinceNanos = timers.nanos();
         }
-        boolean begins = leaving && !draining;
-        draining = leaving;
+        boolean begins = enabled && !draining;
+        draining = enabled;
         if (begins) {
             gate.flush();
         }
     }
 
     /**
-     * Returns when the upstream got its id or began to take work again.
+     * Returns when the upstream got its id or began to accept calls again.
      *
      * @return the time in nanoseconds
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/Phase.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/Phase.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.kernel.serve;
 
-/** Where a received call stands. */
+/** The state of a received call. */
 enum Phase {
-    /** Not handed over. */
+    /** Not handed to the upstream yet. */
     WAITING,
-    /** Handed over and unfinished. */
+    /** Handed to the upstream and unfinished. */
     HANDED,
     /** Answered or refused. */
     FINISHED
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
@@ -8,9 +8,9 @@
 import org.verbenadyke.kernel.quarantine.Standing;
 
 /**
- * Asks for one received call whether it may be handed to the upstream, by what is known of ends of upstreams under the
- * same request. Asked right before the hand-over, so that no call gets past it: a first try, a retry, a filing, or one
- * that waited while upstreams ended elsewhere.
+ * Decides for one received call whether it may be handed to the upstream, based on the known crashes of upstreams with
+ * the same request in flight. Runs right before the hand-over, so that no call bypasses the check: a first attempt, a
+ * retry, a non-idempotent call, or a call that waited while upstreams crashed elsewhere.
  */
 final class QuarantineCheck {
     private final CallServer server;
@@ -19,17 +19,17 @@
     private final SuspectQueue.SuspectedCall suspect;
     private boolean suspected;
 
-    QuarantineCheck(CallServer server, LocalUpstream local, Message.Call call, SuspectQueue.SuspectedCall taker) {
+    QuarantineCheck(CallServer server, LocalUpstream local, Message.Call call, SuspectQueue.SuspectedCall suspect) {
         this.server = server;
         this.local = local;
         this.call = call;
-        this.suspect = taker;
+        this.suspect = suspect;
     }
 
-    /** Tells whether the call must not be handed over now: it is refused, or resumed later. */
+    /** Returns whether the call must not be handed over now. Such a call is refused, or resumed later. */
     boolean blocks(Consumer<Refusal> refuse) {
         if (suspected && local.draining()) {
-            // The queue was emptied when the upstream began to leave; the call waited beside it.
+            // Draining flushed the gate's queue, but the call waited in the suspect queue.
             refuse.accept(server.notRun(RefusalReason.DRAINING));
             return true;
         }
@@ -39,14 +39,14 @@
                 suspected = true;
                 yield !server.suspectQueue().tryStart(suspect);
             }
-            case Standing.Held held -> {
-                refuse.accept(server.parts().quarantine().refusal(call.request(), held));
+            case Standing.Held quarantined -> {
+                refuse.accept(server.parts().quarantine().refusal(call.request(), quarantined));
                 yield true;
             }
         };
     }
 
-    /** Takes notice that the call has ended, however. */
+    /** Called when the call has ended, whatever the outcome. */
     void finished() {
         if (suspected) {
             server.suspectQueue().finish(suspect);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
@@ -1,17 +1,23 @@
 package org.verbenadyke.kernel.serve;
 
 /**
- * How calls are served.
+ * Settings for served calls.
  *
- * @param maxTtlNanos the longest time to live of a call, in nanoseconds
- * @param fenceGraceNanos how much older than its time to live a call's proof of freshness may be, in nanoseconds
- * @param answerIdleNanos how long an upstream may be silent within an answer, in nanoseconds
- * @param initialCreditBytes how much of an answer is sent before the caller allows more, in bytes
- * @param maxStoredBytes the largest answer that is kept for a caller who asks again, in bytes
- * @param retryAfterMillis the least time after which a refused caller may come back, in milliseconds
+ * @param maxTtlNanos the maximum time to live of a call, in nanoseconds
+ * @param fenceGraceNanos the grace period by which the clock reading of a call may exceed the call's time to live in
+ *     age, in nanoseconds
+ * @param stallNanos the timeout of an upstream that sends nothing in the middle of an answer, in nanoseconds
+ * @param initialCreditBytes the flow-control credit of an answer before the caller grants more, in bytes
+ * @param maxStoredBytes the maximum size of an answer that is stored to be sent again, in bytes
+ * @param retryAfterMillis the minimum Retry-After delay of a refused caller, in milliseconds
  */
 public record ServeSettings(
-        long maxTtlNanos, long fenceGraceNanos, long answerIdleNanos, int initialCreditBytes, int maxStoredBytes, long retryAfterMillis) {
+        long maxTtlNanos,
+        long fenceGraceNanos,
+        long stallNanos,
+        int initialCreditBytes,
+        int maxStoredBytes,
+        long retryAfterMillis) {
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_TTL_SECONDS = 30;
     private static final long DEFAULT_GRACE_SECONDS = 8;
@@ -21,7 +27,7 @@
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @return the settings
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectQueue.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * Lets suspects run one at a time at an upstream; the others wait in the order in which they came. Safe for many
- * threads.
+ * Runs suspected calls one at a time at an upstream; the others wait in order of arrival. Thread-safe.
  *
- * <p>Load pattern: an upstream ends with some dozen calls, all are tried again, and the guilty one ends a second
- * upstream with about a third of them. Without the lane these would end up at the third one together, and all would
- * seem guilty; one after the other, at a tenth of a second each, they are answered within a second or two and cleared.
+ * <p>Load pattern: an upstream crashes with a few dozen requests in flight and all are retried; the request that
+ * crashes servers then crashes a second upstream, with about a third of the requests in flight. Without the queue these
+ * would reach the third upstream together, and all would seem to crash servers. Run one after the other, at a tenth of
+ * a second each, the other requests in flight are answered and cleared within a second or two.
  */
 final class SuspectQueue {
     private final Deque<SuspectedCall> waiting = new ArrayDeque<>();
@@ -21,7 +21,9 @@
         return new SuspectQueue();
     }
 
-    /** Asks to run; a call that may not run yet is told later by {@link SuspectedCall#resume}. */
+    /**
+     * Returns whether the call may run now; a call that must wait is notified later by {@link SuspectedCall#resume}.
+     */
     synchronized boolean tryStart(SuspectedCall call) {
         if (running == null || running == call) {
             running = call;
@@ -31,7 +33,7 @@
         return false;
     }
 
-    /** Takes notice that a call has ended, whether it ran or still waited. */
+    /** Called when a call has ended, whether it ran or still waited. */
     void finish(SuspectedCall call) {
         SuspectedCall next;
         synchronized (this) {
@@ -47,9 +49,9 @@
         }
     }
 
-    /** A call under which upstreams have ended. */
+    /** A call that was in flight when upstreams crashed. */
     interface SuspectedCall {
-        /** Takes notice that the call may run now. */
+        /** Called when the call may run. */
         void resume();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * The way to the upstream beside the node.
+ * The connection to the colocated upstream.
  */
 @FunctionalInterface
 public interface UpstreamPort {
@@ -16,18 +16,18 @@
      * Hands a call over.
      *
      * @param handOver the call
-     * @param listener takes what the upstream answers
-     * @return the exchange under way
+     * @param listener receives the upstream's answer
+     * @return the running exchange
      */
     Exchange start(HandOver handOver, Listener listener);
 
     /**
      * A call to be handed over.
      *
-     * @param content what the upstream gets
-     * @param contextToken the value that the upstream copies to its own calls
-     * @param request the request of the chain
-     * @param importance how much it matters
+     * @param content the request that the upstream receives
+     * @param contextToken the token that the upstream copies to its nested calls
+     * @param request the id that all calls of the chain share
+     * @param importance the importance of the request
      * @param remainingNanos the time left until the deadline, in nanoseconds
      */
     record HandOver(
@@ -38,28 +38,28 @@
             long remainingNanos) {}
 
     /**
-     * A call handed over.
+     * An exchange with the upstream for a call that was handed over.
      */
     interface Exchange {
-        /** Asks for one more fragment of the body. */
+        /** Requests one more fragment of the body. */
         void request();
 
-        /** Ends the exchange and tells the upstream. */
+        /** Cancels the exchange and notifies the upstream. */
         void cancel();
     }
 
     /**
-     * Takes what the upstream answers, from any thread but in order.
+     * Receives the upstream's answer, on any thread but in order.
      */
     interface Listener {
-        /** The upstream says that it did not run the call and never will. */
+        /** Called when the upstream reports that it did not run the call and never will. */
         void notRun();
 
-        /** Takes notice that no connection could be had: the upstream never saw the call. */
+        /** Called when no connection could be opened, so that the upstream never received the call. */
         void unreachable();
 
         /**
-         * Takes the head.
+         * Receives the head.
          *
          * @param status the HTTP status
          * @param headers the header fields
@@ -67,19 +67,19 @@
         void head(int status, List<HeaderField> headers);
 
         /**
-         * Takes a fragment of the body that was asked for.
+         * Receives a requested fragment of the body.
          *
          * @param bytes the fragment
          */
         void data(byte[] bytes);
 
-        /** Takes the end of a whole answer. */
+        /** Called at the end of a complete answer. */
         void end();
 
-        /** Takes notice that the exchange broke after the hand-over. */
+        /** Called when the exchange broke off after the hand-over. */
         void broken();
 
-        /** Takes notice that the exchange broke since the upstream ended: nothing listens any more where it did. */
+        /** Called when the exchange broke off because the upstream crashed: nothing listens at its address any more. */
         default void upstreamEnded() {
             broken();
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -214,7 +214,7 @@
         return new UpstreamPort.Exchange() {
             @Override
             public void request() {
-                // The test answers when it wants.
+                // Each test sends the answer itself.
             }
 
             @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -24,7 +24,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests that a node which knows that an attempt did not run says so again when its first word was lost. */
+/**
+ * Guards against a refusal that turns from not run into may have run: a node that knows that an attempt did not run
+ * must report so again when its first reply was lost.
+ */
 final class RepeatedInquiryTest {
     private static final long MILLI = 1_000_000L;
     private static final long TTL_MICROS = 1_000_000L;
@@ -81,7 +84,10 @@
         assertEquals(RunState.NOT_RUN, reportedState());
     }
 
-    /** As after a pause of the node, which goes on under a new id and finds the call in the old connection's buffer. */
+    /**
+     * Reproduces a pause of the node, after which the upstream continues under a new id and the call is read from the
+     * buffer of the old connection.
+     */
     @Test
     void aRefusalOfACallForTheFormerIdIsReportedAgain() {
         server.attach(local.renamed("u1-renamed"));
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/SuspectQueueTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/SuspectQueueTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests that a {@link SuspectQueue} lets calls run one at a time. */
+/** Tests that a {@link SuspectQueue} runs calls one at a time. */
 final class SuspectQueueTest {
     private final SuspectQueue queue = SuspectQueue.empty();
     private final List<String> resumed = new ArrayList<>();
@@ -24,7 +24,7 @@
         assertFalse(queue.tryStart(c));
         queue.finish(a);
         assertEquals(List.of("b"), resumed);
-        assertTrue(queue.tryStart(b), "the one that was resumed asks again at its hand-over");
+        assertTrue(queue.tryStart(b), "a resumed call checks again at its hand-over");
         queue.finish(b);
         queue.finish(c);
         assertEquals(List.of("b", "c"), resumed);
