--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
@@ -3,11 +3,13 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Finds an upstream's capacity from its own sheds and from its throughput. The limit grows while it is used up and
- * growing raises the throughput; it shrinks when the upstream sheds, or when growing only raised the latency. Latency
- * alone doesn't shrink it: a service made slow by those below it still has all its slots.
+ * Estimates an upstream's capacity from the calls that the upstream sheds and from its throughput. The limit grows
+ * while it is used up and growth raises the throughput. It shrinks when the upstream sheds, or when growth only raised
+ * the latency. Latency alone doesn't shrink the limit: a service that is slow because of the services it calls still
+ * has all its slots.
  *
- * <p>State changes once a window by replacing one immutable record; the calls between only add to counters.
+ * <p>The limit changes at most once per window; calls in between only update the counters of the window. All state is
+ * one immutable record that is replaced atomically.
  */
 public final class AdaptiveLimit implements ConcurrencyLimit {
     private static final long WINDOW_NANOS = 100_000_000L;
@@ -33,7 +35,7 @@
     /**
      * Creates a limit.
      *
-     * @param settings the bounds
+     * @param settings the initial value and the bounds
      * @return the limit, at its initial value
      */
     public static AdaptiveLimit of(LimitSettings settings) {
@@ -80,7 +82,8 @@
         if (growthRaisedOnlyLatency(s, throughput, w.latency())) {
             return s.settled(clamp(s.limit * PLATEAU_DECREASE), throughput, w.latency(), HOLD_WINDOWS, now);
         }
-        double grown = s.rampingUp ? s.limit * GROWTH : s.limit + Math.max(MIN_SETTLED_STEP, s.limit * (GROWTH - 1) / 2);
+        double grown =
+                s.rampingUp ? s.limit * GROWTH : s.limit + Math.max(MIN_SETTLED_STEP, s.limit * (GROWTH - 1) / 2);
         return new State(clamp(grown), s.rampingUp, 0, s.limit, throughput, w.latency(), Window.startingAt(now));
     }
 
@@ -101,9 +104,9 @@
     /**
      * The state between two changes.
      *
-     * @param limit the limit in force
-     * @param rampingUp whether the first ceiling was not met yet
-     * @param holdWindows windows to wait before growing again
+     * @param limit the current limit
+     * @param rampingUp whether the limit has not reached the capacity of the upstream for the first time yet
+     * @param holdWindows the number of windows to wait before the limit may grow again
      * @param previousLimit the limit before the last growth, 0 if none
      * @param previousThroughput calls per second at that limit
      * @param previousLatency mean latency at that limit, in nanoseconds
@@ -129,12 +132,12 @@
     }
 
     /**
-     * What happened in one window.
+     * The measurements of one window.
      *
-     * @param start when it began, in nanoseconds
-     * @param calls how many calls finished
-     * @param latencySum their latencies added up, in nanoseconds
-     * @param peak the most calls in flight
+     * @param start when the window began, in nanoseconds
+     * @param calls the number of finished calls
+     * @param latencySum the sum of their latencies, in nanoseconds
+     * @param peak the maximum number of calls in flight
      */
     private record Window(long start, int calls, long latencySum, int peak) {
         static Window startingAt(long now) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
@@ -6,9 +6,9 @@
 import org.verbenadyke.kernel.call.Importance;
 
 /**
- * The rank below which calls are refused beside an upstream. Once a window it is set from a histogram of the ranks that
- * arrived, so that what is admitted fits what the upstream finished. It rises at once under overload and falls in
- * growing steps when the overload has passed.
+ * The rank below which calls to an upstream are refused. Once per window the level is set from a histogram of the
+ * arrived ranks, so that the admitted calls match the number that the upstream finished. The level rises at once under
+ * overload and falls in growing steps after the overload has passed.
  */
 public final class AdmissionLevel implements LevelControl {
     /** The length of a window in nanoseconds. */
@@ -29,7 +29,7 @@
     private AdmissionLevel() {}
 
     /**
-     * Creates a level that admits everything.
+     * Creates a level that admits all calls.
      *
      * @return the level
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The calls that wait for a slot, in the order in which they are served. Safe for many threads.
+ * The calls that wait for a slot, in the order in which they are served. Thread-safe.
  */
 public final class AdmissionQueue {
-    /** The more important first, then the one with more work done above it. */
+    /** The more important first, then the deeper in the call chain, for which more work was already done. */
     private static final Comparator<Entry> BY_IMPORTANCE_AND_DEPTH = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
             .thenComparingInt(e -> -e.call().depth());
@@ -18,16 +18,17 @@
     private static final Comparator<Entry> IMPORTANCE_ORDER = BY_IMPORTANCE_AND_DEPTH.thenComparingLong(Entry::arrival);
 
     /**
-     * Which call is given up last. Load pattern: more calls than fit, several of each request, and a request is lost
-     * with any of them. A rank is the same for all calls of a request, at every upstream, so that the same requests
-     * lose their calls everywhere and the others keep all of theirs.
+     * Shedding order; the first call is shed last. Load pattern: more calls than fit, several per request, and a
+     * request fails with any of them. All calls of a request have the same rank at every upstream, so that the same
+     * requests lose their calls everywhere and the other requests keep all of theirs.
      */
     private static final Comparator<Entry> RETENTION_ORDER =
             BY_IMPORTANCE_AND_DEPTH.thenComparingInt(e -> -e.rank()).thenComparingLong(Entry::arrival);
 
     /**
-     * Within an importance the one due first. Load pattern: more calls than fit, before the entry refuses enough. Calls
-     * that matter most would else wait behind all others and miss their deadlines with them.
+     * The more important first, then the one due first. Load pattern: more calls than fit, before the node where
+     * requests enter refuses enough of them. The most important calls would otherwise wait behind all others and miss
+     * their deadlines too.
      */
     private static final Comparator<Entry> DUE_ORDER = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
@@ -46,7 +47,7 @@
     /**
      * Creates a queue.
      *
-     * @param order which call is served next; the one given up first is always the least important
+     * @param order which call is served next; the first one to be shed is always the least important
      * @return an empty queue
      */
     public static AdmissionQueue in(QueueOrder order) {
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Takes the call to serve next.
+     * Removes and returns the call to serve next.
      *
      * @return the call, if any waits
      */
@@ -80,7 +81,7 @@
     }
 
     /**
-     * Takes the call to give up first.
+     * Removes and returns the call to shed first.
      *
      * @return the call, if any waits
      */
@@ -94,10 +95,10 @@
     }
 
     /**
-     * Takes a call out before its turn.
+     * Removes a call that is neither served nor shed.
      *
      * @param call the call
-     * @return whether it still waited
+     * @return whether the call still waited
      */
     public boolean remove(Waiting call) {
         for (Entry entry : inServiceOrder) {
@@ -111,9 +112,9 @@
     }
 
     /**
-     * Returns how many calls wait.
+     * Returns the number of waiting calls.
      *
-     * @return the number, exact when no other thread is at work
+     * @return the number, exact when no other thread changes the queue
      */
     public int size() {
         return size.get();
@@ -130,9 +131,9 @@
      * A waiting call.
      *
      * @param call the call
-     * @param rank its rank, worked out once
-     * @param arrival its place among equals
-     * @param sinceNanos when it began to wait, in nanoseconds
+     * @param rank the call's rank, computed once
+     * @param arrival the order of arrival, which decides among equals
+     * @param sinceNanos when the call began to wait, in nanoseconds
      */
     public record Entry(Waiting call, int rank, long arrival, long sinceNanos) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/ConcurrencyLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/ConcurrencyLimit.java
@@ -1,33 +1,33 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * How many calls may be handed to an upstream at a time.
+ * Limits how many calls an upstream may run at a time.
  */
 public interface ConcurrencyLimit {
     /**
-     * Returns the limit in force.
+     * Returns the current limit.
      *
      * @return the number of calls, at least 1
      */
     int current();
 
     /**
-     * Notes a finished call.
+     * Records a finished call.
      *
      * @param nowNanos the time
      * @param latencyNanos how long the upstream took
-     * @param inFlight how many calls it had, this one included
-     * @param outcome how it ended
+     * @param inFlight how many calls the upstream had in flight, including the finished one
+     * @param outcome the outcome of the call
      */
     void finished(long nowNanos, long latencyNanos, int inFlight, Outcome outcome);
 
-    /** How a call ended, as far as the limit cares. */
+    /** Outcome of a call, as relevant to the limit. */
     enum Outcome {
         /** The upstream answered. */
         ANSWERED,
-        /** The upstream shed the call on its own. */
+        /** The upstream itself shed the call. */
         SHED,
-        /** The call ended without telling anything of the upstream's capacity. */
+        /** The call ended without information about the upstream's capacity. */
         IGNORED
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/FixedLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/FixedLimit.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * A limit that stays where it was set.
+ * A limit that never changes.
  */
 public final class FixedLimit implements ConcurrencyLimit {
     private final int limit;
@@ -27,6 +27,6 @@
 
     @Override
     public void finished(long nowNanos, long latencyNanos, int inFlight, Outcome outcome) {
-        // A fixed limit learns nothing.
+        // A fixed limit doesn't depend on outcomes.
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
@@ -6,8 +6,8 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 
 /**
- * Decides when a call is handed to the upstream beside the node: at once while a slot is free, else in order of
- * importance from a short queue, or not at all. Safe for many threads.
+ * Admits calls to the colocated upstream: at once while a slot is free, otherwise from a short queue in order of
+ * importance. Calls that don't fit are shed. Thread-safe.
  */
 public final class Gate {
     private final GateSettings settings;
@@ -29,7 +29,7 @@
     /**
      * Creates a gate.
      *
-     * @param settings how it queues
+     * @param settings the settings of the queue
      * @param limit how many calls may be in flight
      * @return the gate
      */
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Takes a call: it is admitted, queued or shed.
+     * Admits, queues or sheds a call.
      *
      * @param call the call
      * @param nowNanos the time
@@ -66,22 +66,22 @@
     }
 
     /**
-     * Takes a call out of the queue.
+     * Removes a call from the queue.
      *
      * @param call the call
-     * @return whether it still waited; it is told nothing more
+     * @return whether the call still waited; a removed call gets no further notification
      */
     public boolean withdraw(Waiting call) {
         return queue.remove(call);
     }
 
     /**
-     * Gives a slot back.
+     * Releases a slot.
      *
      * @param nowNanos the time
      * @param latencyNanos how long the upstream took
-     * @param outcome how the call ended
-     * @param depth how many calls lie above it
+     * @param outcome the outcome of the call
+     * @param depth the depth in the call chain, 0 for a request from a caller
      */
     public void release(long nowNanos, long latencyNanos, ConcurrencyLimit.Outcome outcome, int depth) {
         limit.finished(nowNanos, latencyNanos, inFlight.get(), outcome);
@@ -102,7 +102,7 @@
         admitQueued(nowNanos);
     }
 
-    /** Refuses all that wait, as the upstream is leaving. */
+    /** Refuses all waiting calls, since the upstream is draining. */
     public void flush() {
         for (Optional<AdmissionQueue.Entry> e = queue.pollNext(); e.isPresent(); e = queue.pollNext()) {
             e.get().call().shed(RefusalReason.DRAINING);
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Returns the calls in flight.
+     * Returns the number of calls in flight.
      *
      * @return how many calls hold a slot
      */
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Returns the waiting calls.
+     * Returns the number of waiting calls.
      *
      * @return how many calls wait
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/GateLoad.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/GateLoad.java
@@ -1,12 +1,13 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * What a gate sees at the end of a window.
+ * The load of a gate at the end of a window.
  *
  * @param limit how many calls may be in flight
- * @param inFlight how many are
- * @param queued how many wait
- * @param holdNanos how long a call holds its place in flight, smoothed, in nanoseconds; 0 if unknown
- * @param directHoldNanos the same of requests that come from callers and not from another upstream; 0 if unknown
+ * @param inFlight how many calls are in flight
+ * @param queued how many calls wait
+ * @param holdNanos how long a call holds its slot, smoothed, in nanoseconds; 0 if unknown
+ * @param directHoldNanos how long a request that comes from a caller and not from another upstream holds its slot,
+ *     smoothed, in nanoseconds; 0 if unknown
  */
 public record GateLoad(int limit, int inFlight, int queued, long holdNanos, long directHoldNanos) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LevelControl.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LevelControl.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * Sets the rank below which calls are refused beside an upstream. Safe for many threads, but for {@link #endWindow}.
+ * Sets the rank below which calls to an upstream are refused. Thread-safe, except for {@link #endWindow}.
  */
 public interface LevelControl {
     /**
@@ -12,7 +12,7 @@
     int current();
 
     /**
-     * Returns the rank below which requests are refused that come from callers and not from another upstream.
+     * Returns the rank below which requests that come from callers and not from another upstream are refused.
      *
      * @return the rank, at most {@link #current()}
      */
@@ -21,24 +21,24 @@
     }
 
     /**
-     * Notes an arriving call, admitted or not.
+     * Records an arriving call, admitted or not.
      *
-     * @param rank its rank
-     * @param depth how many calls lie above it
-     * @return whether the rank is admitted
+     * @param rank the call's rank
+     * @param depth the depth in the call chain, 0 for a request from a caller
+     * @return whether the call is admitted
      */
     boolean arrive(int rank, int depth);
 
-    /** Notes that the upstream finished a call. */
+    /** Records that the upstream finished a call. */
     void finished();
 
-    /** Notes that a call waited too long or found the queue full. */
+    /** Records that a call waited too long or found the queue full. */
     void overloaded();
 
     /**
      * Ends a window; called by one thread at a time, every {@link AdmissionLevel#WINDOW_NANOS}.
      *
-     * @param load what the gate sees
+     * @param load the load of the gate
      */
     void endWindow(GateLoad load);
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LimitProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LimitProvider.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * A plug-in that makes concurrency limits; it registers itself through {@link java.util.ServiceLoader}.
+ * A plug-in that creates concurrency limits; registered through {@link java.util.ServiceLoader}.
  */
 public interface LimitProvider {
     /**
@@ -12,9 +12,9 @@
     String name();
 
     /**
-     * Makes the limit of one upstream.
+     * Creates the limit of one upstream.
      *
-     * @param settings the bounds
+     * @param settings the initial value and the bounds
      * @return the limit
      */
     ConcurrencyLimit create(LimitSettings settings);
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LimitSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LimitSettings.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * The bounds of a concurrency limit.
+ * The initial value and the bounds of a concurrency limit.
  *
- * @param initial the limit at the start; low, since a new upstream may be cold
- * @param minimum the least
- * @param maximum the most
+ * @param initial the initial limit; low, since a new upstream may be cold
+ * @param minimum the lowest limit
+ * @param maximum the highest limit
  */
 public record LimitSettings(int initial, int minimum, int maximum) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
@@ -6,56 +6,62 @@
 import org.verbenadyke.kernel.call.RequestId;
 
 /**
- * A level from the load that arrives, for chains in which a refused call wastes the work above it.
+ * Sets the admission level from the arriving load, for call chains in which a refused call wastes the work of the
+ * calling nodes.
  *
- * <p>Load pattern: demand stays above what the deepest service can do for seconds, and each request that is let in
- * at the entry makes its calls there some hundred milliseconds later, and for some hundred more. What helps is to
- * refuse requests at the entry, so that the calls of those let in are all served. The level tells the entry how much to
- * refuse: once a period, the share that is let in is multiplied by a power of how far the load lies from its target.
- * The power, and a period about half as long as a change takes to show, keep the level from answering the same overload
- * several times over.
+ * <p>Load pattern: demand exceeds the capacity of the deepest service for seconds. Each request that is admitted at the
+ * entry makes its calls to that service some hundred milliseconds later, and for some hundred more. Refusing requests
+ * at the entry helps, since all calls of the admitted requests can then be served. The level sets how much the entry
+ * refuses: once per period, the admitted share is multiplied by a power of the ratio of target load to measured load.
+ * The exponent, and a period about half as long as a change takes to show, keep the level from reacting to the same
+ * overload several times.
  *
- * <p>Requests that come here from callers are refused by a share of the level, if they hold a place for a shorter time
- * than the calls that fill it. Load pattern: calls that wait for a deeper service hold the places of this one; refusing
- * what never goes there frees few of them.
+ * <p>Requests that come from callers are refused below a share of the level, if they hold a slot for a shorter time
+ * than the mean call. Load pattern: calls that wait for a deeper service hold the slots of the local one; refusing
+ * requests that never reach the deeper service frees few of those slots.
  *
- * <p>Calls inside a chain are never refused by the level, since work was done for them; nor is the most important band.
+ * <p>Calls inside a chain are never refused by the level, since work was already done for them; nor are requests of the
+ * most important band.
  */
 public final class LoadLevel implements LevelControl {
-    /** Windows in a period: 300 ms, in which about half of the calls of a request that was let in have arrived. */
+    /** Windows per period: 300 ms, in which about half of the calls of an admitted request have arrived. */
     static final int PERIOD_WINDOWS = 6;
 
-    /** The load aimed at: some room is left for the chance of arrivals within a period. */
+    /** The target load; the rest is spare capacity for random variation of arrivals within a period. */
     private static final double TARGET_LOAD = 0.97;
 
-    /** Loads up to here and down to {@link #LOW_LOAD} change nothing, so that the level rests between two loads. */
+    /**
+     * Loads between {@link #LOW_LOAD} and this value leave the level unchanged, so that the level doesn't oscillate.
+     */
     private static final double HIGH_LOAD = 1.0;
 
     private static final double LOW_LOAD = 0.94;
 
-    /** The most that a period lets in less, as a share of what it let in before. */
+    /** The smallest factor by which one period may reduce the admitted share. */
     private static final double MIN_SHRINK_FACTOR = 0.5;
 
     /**
-     * The most that a period lets in more. Load pattern: clumps well above a mean that fits. What a clump made the
-     * level refuse must be let in again before the next one, or the places of the calm between them stay empty; and no
-     * faster than that a return is caught before the queue is full.
+     * The largest factor by which one period may raise the admitted share. Load pattern: bursts well above a mean load
+     * that fits. What the level refuses because of one burst must be admitted again before the next one, or slots stay
+     * empty in the calm between bursts. The growth must also be slow enough that a returning overload is detected
+     * before the queue is full.
      */
     private static final double MAX_GROWTH_FACTOR = 1.25;
 
-    /** Below this share, a band counts as shut and the next one is begun. */
+    /** The admitted share below which a band counts as closed and requests of the next band are refused too. */
     private static final double CLOSED_SHARE = 0.03;
 
     /**
-     * The share of the arrivals up to which a band counts as having nothing more to give. Above it, calls of requests
-     * let in earlier still come, or other entries have not heard yet; more important requests must not pay for that.
+     * The share of all arrivals below which a closed band counts as exhausted. Above that share, calls of requests
+     * admitted earlier still arrive, or other entry nodes have not received the level yet; more important requests must
+     * not be refused for that.
      */
     private static final double EXHAUSTED_SHARE = 0.03;
 
-    /** The power of the correction: less than 1, since a change takes about two periods to show in full. */
+    /** The exponent of the correction: less than 1, since a change takes about two periods to take full effect. */
     private static final double CORRECTION_EXPONENT = 0.75;
 
-    /** The bands that may be refused: all but the most important. */
+    /** The number of bands that may be refused: all but the most important one. */
     private static final int REFUSABLE_BANDS = Importance.values().length - 1;
 
     private final AtomicLongArray arrivals = new AtomicLongArray(Importance.values().length);
@@ -68,7 +74,7 @@
     private LoadLevel() {}
 
     /**
-     * Creates a level that admits everything.
+     * Creates a level that admits all calls.
      *
      * @return the level
      */
@@ -97,12 +103,12 @@
 
     @Override
     public void finished() {
-        // The load is taken from what arrives.
+        // Not used: the load is computed from arrivals.
     }
 
     @Override
     public void overloaded() {
-        // The load is taken from what arrives.
+        // Not used: the load is computed from arrivals.
     }
 
     @Override
@@ -118,22 +124,22 @@
             arrived += arrivals.getAndSet(i, 0);
         }
         double offered = (arrived + load.queued()) * (double) load.holdNanos();
-        double able = (double) load.limit() * PERIOD_WINDOWS * AdmissionLevel.WINDOW_NANOS;
-        adjust(offered / able, (double) inBand / Math.max(1, arrived));
+        double capacity = (double) load.limit() * PERIOD_WINDOWS * AdmissionLevel.WINDOW_NANOS;
+        adjust(offered / capacity, (double) inBand / Math.max(1, arrived));
         direct = (int) Math.round(level * directShare(load));
     }
 
     /**
-     * The share of the level that direct requests are refused by: the room of one beside a mean call's, squared,
-     * since a request of a chain makes several calls here.
+     * Returns the share of the level that applies to direct requests: the ratio of their slot hold time to that of a
+     * mean call, squared, since a request of a chain makes several calls to the local service.
      */
     private static double directShare(GateLoad load) {
         boolean known = load.directHoldNanos() > 0 && load.holdNanos() > 0;
         if (!known) {
             return 1;
         }
-        double room = (double) load.directHoldNanos() / load.holdNanos();
-        return Math.min(1, room * room);
+        double holdRatio = (double) load.directHoldNanos() / load.holdNanos();
+        return Math.min(1, holdRatio * holdRatio);
     }
 
     private void adjust(double load, double arrivedInBand) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/ServiceTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/ServiceTime.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The least time an upstream took lately: the smallest latency of the current and the previous window. Used to drop
- * calls that can't meet their deadline any more.
+ * The minimum latency of an upstream in the current and the previous window. Used to refuse calls that can no longer
+ * meet their deadline.
  */
 final class ServiceTime {
     private static final long WINDOW_NANOS = 1_000_000_000L;
@@ -33,11 +33,11 @@
     }
 
     /**
-     * The smallest latencies, in nanoseconds.
+     * The minimum latencies, in nanoseconds.
      *
      * @param start when the current window began
-     * @param previous the smallest of the previous window, 0 if unknown
-     * @param current the smallest of the current window
+     * @param previous the minimum of the previous window, 0 if unknown
+     * @param current the minimum of the current window
      */
     private record Minimum(long start, long previous, long current) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotHoldTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotHoldTime.java
@@ -1,11 +1,13 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * How long calls hold their place in flight, smoothed over the last calls. Safe for many threads; a lost update of two
- * at once does no harm to a mean.
+ * How long calls hold their slot, smoothed over the last calls. Thread-safe; when two threads update the mean at the
+ * same time, one update may be lost, which a mean tolerates.
  */
 final class SlotHoldTime {
-    /** Weight of the newest call: about the last hundred calls count, some tenths of a second under load. */
+    /**
+     * Weight of the newest call: the mean follows about the last hundred calls, a few tenths of a second under load.
+     */
     private static final double SMOOTHING = 0.02;
 
     private volatile double nanos;
@@ -17,8 +19,8 @@
     }
 
     void observe(long newNanos) {
-        double seen = nanos;
-        nanos = seen == 0 ? newNanos : seen + SMOOTHING * (newNanos - seen);
+        double mean = nanos;
+        nanos = mean == 0 ? newNanos : mean + SMOOTHING * (newNanos - mean);
     }
 
     long nanos() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/SlotLimit.java
@@ -1,13 +1,13 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * A limit from the number of calls that an upstream says it runs at once.
+ * Creates limits from the number of slots that an upstream announces.
  *
- * <p>Load pattern: saturation. Upstreams slow down when nearly all their slots are taken, and a new connection may take
- * a slot for a moment; an upstream that is overfilled may stop answering. A few slots are therefore left free.
+ * <p>Load pattern: saturation. Upstreams slow down when nearly all their slots are taken, a new connection may briefly
+ * occupy a slot, and an upstream with more calls than slots may stop answering. A few slots are therefore left free.
  */
 public final class SlotLimit {
-    /** The share of the slots that is used; upstreams were seen to slow down above 95 %. */
+    /** The usable share of the slots; upstreams slow down when more than 95 % are taken. */
     private static final double USABLE_SHARE = 0.94;
 
     private SlotLimit() {}
@@ -15,7 +15,7 @@
     /**
      * Creates a limit.
      *
-     * @param slots how many calls the upstream runs at once
+     * @param slots how many calls the upstream can run at the same time
      * @return the limit, at least 1
      */
     public static ConcurrencyLimit of(int slots) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/Waiting.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/Waiting.java
@@ -4,11 +4,11 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 
 /**
- * A call that asks to be handed to the upstream.
+ * A call that waits to be handed to the upstream.
  */
 public interface Waiting {
     /**
-     * Returns how much the call matters.
+     * Returns the importance of the call.
      *
      * @return the importance
      */
@@ -22,16 +22,16 @@
     int rank();
 
     /**
-     * Returns how deep in its chain the call is.
+     * Returns the depth of the call in the call chain.
      *
-     * @return the number of calls above it
+     * @return the depth, 0 for a request from a caller
      */
     int depth();
 
     /**
-     * Returns the time after which nobody waits for the answer.
+     * Returns the deadline of the call.
      *
-     * @return the deadline on the local clock, in nanoseconds
+     * @return the time on the local clock, in nanoseconds
      */
     long deadlineNanos();
 
@@ -50,7 +50,7 @@
     /**
      * Refuses the call, which was not run.
      *
-     * @param reason why
+     * @param reason the reason
      */
     void shed(RefusalReason reason);
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
@@ -103,7 +103,7 @@
         gate.release(0, 0, ConcurrencyLimit.Outcome.ANSWERED, 0);
     }
 
-    /** A call that notes what became of it. */
+    /** A call that records its outcome. */
     private final class Call implements Waiting {
         private final String name;
         private final Importance importance;
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
@@ -13,9 +13,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Replays a load on gates alone: requests that each make eight calls of a service with three upstreams of different
- * speed, for some seconds at well above what the service can do. Each call that is refused costs its whole request. But
- * where a test says so, a call does not tell which request it belongs to.
+ * Replays a load on gates alone. Each request makes eight calls to a service with three upstreams of different speed,
+ * for some seconds at a rate well above the capacity of the service. A refused call fails its whole request. Unless a
+ * test says otherwise, the rank of a call is independent of the request that the call belongs to.
  */
 final class LoadLevelReplayTest {
     private static final long MILLI = 1_000_000L;
@@ -71,7 +71,9 @@
         assertTrue(share > 0.97, "important requests served: " + share);
     }
 
-    /** Each refused caller comes back once, as told; those that come back are as many as the others. */
+    /**
+     * Each refused caller retries once, after the Retry-After delay; there are as many retrying callers as new ones.
+     */
     @Test
     void keepsTheCapacityWhenRefusedCallersRetry() {
         callersReturn = true;
@@ -81,7 +83,7 @@
         assertTrue(ours > 0.8 * capacity, "goodput " + ours + " of " + capacity);
     }
 
-    /** A load begins at once at twice the capacity; in its first second no level has risen in time. */
+    /** The load jumps to twice the capacity; during the first second the level has not risen yet. */
     @Test
     void finishesMoreRequestsAtTheOnsetWhenTheirCallsShareARank() {
         double untied = servedAtOnset(false);
@@ -97,7 +99,7 @@
         return served;
     }
 
-    /** Requests a second that the service could do if no work were wasted. */
+    /** Requests per second that the service can complete if no work is wasted. */
     private static double capacity() {
         double calls = 0;
         for (double speed : SPEEDS) {
@@ -141,12 +143,15 @@
         });
     }
 
-    /** The level that an answer brings: each request meets every upstream, and the lowest level is passed up. */
+    /**
+     * The level that answers report: each request reaches every upstream, and the lowest level is reported to the
+     * calling node.
+     */
     private int level() {
         return gates.stream().mapToInt(Gate::level).min().orElse(0);
     }
 
-    /** Chooses as many senders do: two at random, the one that is expected to answer first. */
+    /** Chooses an upstream as senders do: of two random ones, the one that is expected to answer first. */
     private int choose() {
         int a = random.nextInt(gates.size());
         int b = (a + 1 + random.nextInt(gates.size() - 1)) % gates.size();
@@ -236,7 +241,9 @@
 
         @Override
         public int rank() {
-            return depth == 0 || callsShareRank ? request.rank : importance().rank(new RequestId(2, random.nextInt()), false);
+            return depth == 0 || callsShareRank
+                    ? request.rank
+                    : importance().rank(new RequestId(2, random.nextInt()), false);
         }
 
         @Override
