--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkOwner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkOwner.java
@@ -3,14 +3,14 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Takes what comes over a node's links.
+ * Receives the events of a link.
  */
 interface LinkOwner {
-    /** Takes the news that a link is ready: both sides have said hello and lent their clocks. */
+    /** Called when a link is ready: both sides have exchanged hello messages and clock readings. */
     void ready(LinkSession link);
 
     void received(LinkSession link, Message message);
 
-    /** Takes the end of a link; told once. */
+    /** Called exactly once, when a link has closed. */
     void lost(LinkSession link, boolean silent);
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
@@ -18,7 +18,7 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * The links of a node: one to each node it sends to, and those that others opened. Safe for many threads.
+ * The links of a node: one to each node that it sends to, and those that other nodes opened. Thread-safe.
  */
 public final class LinkPool implements Links {
     private static final int MIN_PAUSE_TICKS = 3;
@@ -53,12 +53,12 @@
     /**
      * Creates a pool without links.
      *
-     * @param self what this node says of itself
-     * @param timers the time
-     * @param settings how links are watched
+     * @param self the hello message of the local node
+     * @param timers the clock and timers
+     * @param settings the timeouts of links
      * @param transport opens connections
-     * @param counters where lost links are counted
-     * @param listener takes messages and lost links
+     * @param counters counts lost links
+     * @param listener receives messages and lost links
      * @return the pool
      */
     public static LinkPool create(
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Takes a connection that another node opened.
+     * Accepts a connection that another node opened.
      *
-     * @return takes the connection's events
+     * @return the handler of the connection's events
      */
     public Transport.Handler accept() {
         LinkSession session = LinkSession.create(self, timers, settings, new Accepted(), false);
@@ -85,14 +85,14 @@
     }
 
     @Override
-    public void acquire(Endpoint endpoint, Consumer<Optional<Link>> taker) {
+    public void acquire(Endpoint endpoint, Consumer<Optional<Link>> callback) {
         PeerLink slot = peerLinks.computeIfAbsent(endpoint, PeerLink::new);
         LinkSession open = slot.open;
         if (open != null && !open.closed()) {
-            taker.accept(Optional.of(open));
+            callback.accept(Optional.of(open));
             return;
         }
-        slot.serial.run(() -> slot.request(taker));
+        slot.serial.run(() -> slot.request(callback));
     }
 
     /** Closes every link. */
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Returns the links.
+     * Returns the number of links.
      *
      * @return how many connections are open or being opened
      */
@@ -128,19 +128,19 @@
     }
 
     /**
-     * Takes what comes over the links.
+     * Receives the events of all links.
      */
     public interface Listener {
         /**
-         * Takes a message.
+         * Handles a message.
          *
-         * @param link the link it came by
+         * @param link the link on which the message arrived
          * @param message the message
          */
         void received(Link link, Message message);
 
         /**
-         * Takes the end of a link.
+         * Called when a link has closed.
          *
          * @param link the link
          */
@@ -148,12 +148,12 @@
     }
 
     /**
-     * Owns the links that others opened.
+     * Owner of the links that other nodes opened.
      */
     private final class Accepted implements LinkOwner {
         @Override
         public void ready(LinkSession link) {
-            // Answers go out on it when there are any.
+            // Nothing to do: answers are sent on the link as they become available.
         }
 
         @Override
@@ -168,7 +168,7 @@
     }
 
     /**
-     * Owns the link to one node.
+     * Owner of the link to one node.
      */
     private final class PeerLink implements LinkOwner {
         private final Endpoint endpoint;
@@ -181,12 +181,12 @@
             this.endpoint = endpoint;
         }
 
-        void request(Consumer<Optional<Link>> taker) {
+        void request(Consumer<Optional<Link>> callback) {
             if (open != null && !open.closed()) {
-                taker.accept(Optional.of(open));
+                callback.accept(Optional.of(open));
                 return;
             }
-            callbacks.add(taker);
+            callbacks.add(callback);
             if (opening == null) {
                 opening = LinkSession.create(self, timers, settings, this, true);
                 register(opening);
@@ -225,9 +225,9 @@
         }
 
         private void notifyCallbacks(Optional<Link> link) {
-            List<Consumer<Optional<Link>>> told = List.copyOf(callbacks);
+            List<Consumer<Optional<Link>>> pending = List.copyOf(callbacks);
             callbacks.clear();
-            told.forEach(t -> t.accept(link));
+            pending.forEach(c -> c.accept(link));
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -8,8 +8,8 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * One connection between two nodes: greets, lends clocks, and finds out when the connection has gone silent. The side
- * that opened it asks for signs of life; the other side answers.
+ * One connection between two nodes: exchanges hello messages and clock readings, and detects when the connection has
+ * gone silent. The opening side probes the connection with heartbeats, and the other side replies to each.
  */
 final class LinkSession implements Link, Transport.Handler {
     private static final int MAX_IDLE_PERIODS = 4;
@@ -80,8 +80,8 @@
     }
 
     @Override
-    public void awaiting(int more) {
-        awaitedAnswers.addAndGet(more);
+    public void awaiting(int delta) {
+        awaitedAnswers.addAndGet(delta);
     }
 
     @Override
@@ -145,10 +145,10 @@
     }
 
     /**
-     * Looks whether the link has gone silent.
+     * Checks whether the link has gone silent.
      *
      * @param now the time
-     * @param paused whether this process was paused since the last look, so that silence proves nothing
+     * @param paused whether the local process was paused since the last check, so that silence proves nothing
      */
     void tick(long now, boolean paused) {
         if (!ready) {
@@ -161,9 +161,9 @@
             lastReceivedNanos = now;
             probeSentNanos = 0;
         }
-        long quiet = now - lastReceivedNanos;
+        long silentFor = now - lastReceivedNanos;
         if (!opener) {
-            if (quiet > settings.idleProbeNanos() * MAX_IDLE_PERIODS) {
+            if (silentFor > settings.idleProbeNanos() * MAX_IDLE_PERIODS) {
                 end(true);
             }
             return;
@@ -172,9 +172,9 @@
             end(true);
             return;
         }
-        boolean anxious = awaitedAnswers.get() > 0 && quiet > settings.probeAfterNanos();
-        boolean clockOld = now - peerClockReceivedNanos > settings.idleProbeNanos();
-        if (probeSentNanos == 0 && (anxious || clockOld)) {
+        boolean answerOverdue = awaitedAnswers.get() > 0 && silentFor > settings.probeAfterNanos();
+        boolean clockStale = now - peerClockReceivedNanos > settings.idleProbeNanos();
+        if (probeSentNanos == 0 && (answerOverdue || clockStale)) {
             probeSentNanos = now;
             send(new Message.Heartbeat(now));
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSettings.java
@@ -1,15 +1,16 @@
 package org.verbenadyke.kernel.link;
 
 /**
- * How links are watched.
+ * Timeouts of the links between nodes.
  *
- * @param tickNanos how often each link is looked at, in nanoseconds
- * @param probeAfterNanos after how much silence a waiting node asks for a sign of life, in nanoseconds
- * @param lostAfterNanos after how much silence a waited-on link counts as lost, in nanoseconds
- * @param idleProbeNanos how often a link on which nobody waits proves itself, in nanoseconds
- * @param connectTimeoutNanos how long a connection may take to be ready, in nanoseconds
+ * @param tickNanos how often each link is checked, in nanoseconds
+ * @param probeAfterNanos after how much silence a node that awaits an answer sends a heartbeat, in nanoseconds
+ * @param lostAfterNanos after how much silence a link with awaited answers counts as lost, in nanoseconds
+ * @param idleProbeNanos how often a heartbeat is sent on a link without awaited answers, in nanoseconds
+ * @param connectTimeoutNanos the timeout until a new connection is ready, in nanoseconds
  */
-public record LinkSettings(long tickNanos, long probeAfterNanos, long lostAfterNanos, long idleProbeNanos, long connectTimeoutNanos) {
+public record LinkSettings(
+        long tickNanos, long probeAfterNanos, long lostAfterNanos, long idleProbeNanos, long connectTimeoutNanos) {
     private static final long MILLI = 1_000_000L;
     private static final long DEFAULT_TICK_MILLIS = 100;
     private static final long DEFAULT_PROBE_AFTER_MILLIS = 200;
@@ -18,7 +19,7 @@
     private static final long DEFAULT_CONNECT_TIMEOUT_MILLIS = 1_000;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @return the settings
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/Links.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/Links.java
@@ -7,15 +7,15 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * Where links to other nodes come from.
+ * Provides links to other nodes.
  */
 @FunctionalInterface
 public interface Links {
     /**
-     * Gets a link, opening one if there is none.
+     * Provides a link, opening one if none is open.
      *
      * @param endpoint where the node listens
-     * @param taker is told once: the link, or empty when the node can't be connected to
+     * @param callback called exactly once, with the link, or empty when the node can't be connected to
      */
-    void acquire(Endpoint endpoint, Consumer<Optional<Link>> taker);
+    void acquire(Endpoint endpoint, Consumer<Optional<Link>> callback);
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/Transport.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/Transport.java
@@ -9,32 +9,32 @@
 @FunctionalInterface
 public interface Transport {
     /**
-     * Connects; the handler is told what comes of it.
+     * Opens a connection and notifies the handler of the result.
      *
      * @param endpoint where the node listens
-     * @param handler takes the connection's events
+     * @param handler receives the connection's events
      */
     void connect(Endpoint endpoint, Handler handler);
 
     /**
-     * Takes the events of one connection, one at a time.
+     * Receives the events of one connection, one at a time.
      */
     interface Handler {
         /**
-         * Takes the open connection.
+         * Called when the connection is open.
          *
          * @param channel the connection
          */
         void opened(Channel channel);
 
         /**
-         * Takes a message.
+         * Handles a message.
          *
          * @param message the message
          */
         void received(Message message);
 
-        /** Takes the end of the connection, or the failure to open it; told once. */
+        /** Called exactly once, when the connection has closed or could not be opened. */
         void ended();
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
@@ -108,7 +108,7 @@
         handler.received(new Message.Heartbeat(7));
     }
 
-    /** Answers heartbeats as a peer does. */
+    /** Replies to heartbeats like a peer. */
     private final class FakeChannel implements Channel {
         private final Transport.Handler handler;
 
@@ -130,11 +130,11 @@
         }
     }
 
-    /** Notes lost links. */
+    /** Records lost links. */
     private final class Listener implements LinkPool.Listener {
         @Override
         public void received(Link link, Message message) {
-            // Not looked at here.
+            // Messages are not checked by these tests.
         }
 
         @Override
