--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.message;
 
 /**
- * One open connection to another node, as the decision logic sees it.
+ * One open connection to another node, independent of the transport.
  */
 public interface Link {
     /**
@@ -11,32 +11,33 @@
      */
     void send(Message message);
 
-    /** Closes the link; its listener is told once. */
+    /** Closes the link; its listener is notified exactly once. */
     void close();
 
     /**
-     * Returns the newest clock lent by the peer.
+     * Returns the latest clock reading received from the peer.
      *
-     * @return the peer's nanoseconds, 0 if it lent none yet
+     * @return the peer's clock in nanoseconds, 0 if none was received yet
      */
     long peerClock();
 
     /**
-     * Returns which start of the peer's process is at the other end. What one start knows, the next has forgotten.
+     * Returns the incarnation of the peer process. A restarted process has a new incarnation and has lost the state of
+     * the old one.
      *
-     * @return the peer's incarnation, 0 before it has said it
+     * @return the peer's incarnation, 0 before it was received
      */
     long peerIncarnation();
 
     /**
-     * Notes that one more answer is awaited on the link, or one less.
+     * Adjusts the number of answers that are awaited on the link.
      *
-     * @param more 1 or -1
+     * @param delta 1 or -1
      */
-    void awaiting(int more);
+    void awaiting(int delta);
 
     /**
-     * Tells whether the link has ended.
+     * Returns whether the link is closed.
      *
      * @return whether it is closed
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -26,7 +26,7 @@
     record Hello(int version, String nodeId, long incarnation) implements Message {}
 
     /**
-     * Shows that the connection carries messages, and lends the sender's clock to the receiver.
+     * Proves that the connection works, and sends the sender's clock reading to the receiver.
      *
      * @param senderClock the sender's monotonic clock, in nanoseconds
      */
@@ -37,15 +37,16 @@
      *
      * @param id the attempt
      * @param request the request it belongs to
-     * @param target where it goes
-     * @param importance how much it matters
-     * @param depth how many calls lie above it
-     * @param ttlMicros how long the sender waits, in microseconds
-     * @param dueMicros after how long the target latency of the request passes, in microseconds
-     * @param receiverClock the newest clock that the receiver lent on this connection, in its nanoseconds; 0 if none
-     * @param idempotent whether it may run more than once
+     * @param target the called service and upstream
+     * @param importance the importance of the request
+     * @param depth the depth in the call chain, 0 for a request from a caller
+     * @param ttlMicros the time to live: how long the sender waits, in microseconds
+     * @param dueMicros the time left until the target latency of the request passes, in microseconds
+     * @param receiverClock the latest clock reading that the receiver sent on the connection, in the receiver's
+     *     nanoseconds; 0 if none
+     * @param idempotent whether the request may run more than once
      * @param key the idempotency key, empty if none
-     * @param content what the upstream gets
+     * @param content the request that the upstream receives
      */
     record Call(
             CallId id,
@@ -62,7 +63,7 @@
             implements Message {}
 
     /**
-     * Where a call goes.
+     * The destination of a call.
      *
      * @param service the service
      * @param upstream the upstream's id
@@ -70,42 +71,44 @@
     record Target(String service, String upstream) {}
 
     /**
-     * Asks the node that deals a team's permits for some.
+     * Requests permits of a team from the node that allocates them.
      *
-     * @param ticket joins the answer to the question
-     * @param node the name of the node that asks
+     * @param ticket correlates the reply with the request
+     * @param node the name of the requesting node
      * @param team the team
-     * @param held permits that the node holds
-     * @param returned permits that it gives back unused
-     * @param needed permits for requests that wait
-     * @param wanted permits that it would like, those needed among them
+     * @param held permits that the node has leased
+     * @param returned permits that the node returns unused
+     * @param needed permits for waiting requests
+     * @param wanted permits that the node requests, including those needed
      */
     record QuotaAsk(long ticket, String node, String team, int held, int returned, int needed, int wanted)
             implements Message {}
 
     /**
-     * Answers a question for permits.
+     * Replies to a request for permits.
      *
-     * @param ticket joins the answer to the question
+     * @param ticket correlates the reply with the request
      * @param team the team
-     * @param dealt whether the sender deals the team's permits now; else it must be asked again, or another node
-     * @param granted permits for the node that asked
-     * @param afterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
+     * @param dealt whether the sender is the permit allocator of the team at present; if not, the request must be
+     *     repeated or sent to another node
+     * @param granted permits allocated to the requesting node
+     * @param afterMillis the time until another permit is available to the node, in milliseconds; 0 if all needed
+     *     permits were granted
      */
     record QuotaTold(long ticket, String team, boolean dealt, int granted, long afterMillis) implements Message {}
 
     /**
-     * What an upstream gets.
+     * The HTTP request that an upstream receives.
      *
      * @param method the HTTP method
      * @param path the path and query
      * @param headers the header fields
      * @param body the whole body
-     * @param team the name of the team that asks, empty if it isn't known
+     * @param team the name of the calling team, empty if unknown
      */
     record Content(String method, String path, List<HeaderField> headers, byte[] body, String team) {
         /**
-         * Creates the content of a request whose team isn't known.
+         * Creates the content of a request whose team is unknown.
          *
          * @param method the HTTP method
          * @param path the path and query
@@ -118,18 +121,20 @@
     }
 
     /**
-     * What each answer tells of the node that gave it.
+     * The load of the answering node, sent with each answer.
      *
      * @param inFlight calls handed to the upstream
-     * @param limit how many may be handed to it
+     * @param limit the concurrency limit
      * @param level the admission level of the node itself
-     * @param directLevel the same for requests that come from callers and not from another upstream
-     * @param draining whether the upstream is leaving
-     * @param below what it knows of the services that were called for the answer
+     * @param directLevel the admission level of the node for requests that come from callers and not from another
+     *     upstream
+     * @param draining whether the upstream is draining
+     * @param below the highest admission level among the services that were called for the answer
      */
     record Report(int inFlight, int limit, int level, int directLevel, boolean draining, Below below) {
         /**
-         * Returns the level of the call's path from the node down.
+         * Returns the admission level of the call's path: the highest of the node and of the services deeper in the
+         * call chain.
          *
          * @return the rank below which calls are refused
          */
@@ -139,11 +144,11 @@
     }
 
     /**
-     * The service that refuses most among those that a call leads to.
+     * The service with the highest admission level among those deeper in the call chain.
      *
      * @param service the service, empty if none was called
-     * @param level the rank below which it refuses calls
-     * @param ageMillis how long ago that was so, in milliseconds
+     * @param level the rank below which the service refuses calls
+     * @param ageMillis the age of the level, in milliseconds
      */
     record Below(String service, int level, int ageMillis) {
         /** No service was called. */
@@ -156,7 +161,8 @@
      * @param id the attempt
      * @param status the HTTP status
      * @param headers the header fields
-     * @param settled whether a failure was already retried as far as it may be, deeper in the chain
+     * @param settled whether a failure was already retried as often as allowed deeper in the call chain, so that no
+     *     further retry may follow
      * @param report the state of the answering node
      */
     record Head(CallId id, int status, List<HeaderField> headers, boolean settled, Report report) implements Message {}
@@ -171,7 +177,7 @@
     record Data(CallId id, long offset, byte[] bytes) implements Message {}
 
     /**
-     * The end of a whole answer.
+     * The end of a complete answer.
      *
      * @param id the attempt
      * @param length the length of the whole body
@@ -179,7 +185,7 @@
     record End(CallId id, long length) implements Message {}
 
     /**
-     * A refusal in place of an answer, or a broken answer after its head.
+     * A refusal in place of an answer, or after the head of an answer that broke off.
      *
      * @param id the attempt
      * @param refusal the refusal
@@ -188,7 +194,7 @@
     record Refused(CallId id, Refusal refusal, Report report) implements Message {}
 
     /**
-     * Allows more of an answer's body.
+     * Grants flow-control credit for more of an answer's body.
      *
      * @param id the attempt
      * @param bytes how many bytes more
@@ -196,98 +202,100 @@
     record Credit(CallId id, int bytes) implements Message {}
 
     /**
-     * Ends an attempt that nobody waits for.
+     * Cancels an attempt whose answer is no longer awaited.
      *
      * @param id the attempt
      */
     record Cancel(CallId id) implements Message {}
 
     /**
-     * Asks for one retry out of the request's budget, from the node below to the node above.
+     * Requests one retry from the retry budget of the request, sent from the called node to the calling node.
      *
-     * @param id the attempt that the asking node serves
-     * @param ticket numbers the question
+     * @param id the attempt that the called node serves
+     * @param ticket correlates the {@link Grant} with the message
      */
     record Spend(CallId id, long ticket) implements Message {}
 
     /**
-     * Answers {@link Spend}.
+     * Replies to {@link Spend}.
      *
      * @param id the attempt
-     * @param ticket the question
-     * @param granted whether the retry may be made
+     * @param ticket the ticket of the {@link Spend}
+     * @param granted whether the retry is allowed
      */
     record Grant(CallId id, long ticket, boolean granted) implements Message {}
 
     /**
-     * Asks over a new connection what became of an attempt. A receiver that never saw the attempt, and whose memory
-     * reaches back to when it was sent, seals its id.
+     * Inquires over a new connection about the outcome of an attempt. A receiver that never received the attempt, and
+     * whose record of received ids reaches back to when the attempt was sent, seals its id.
      *
      * @param id the attempt
-     * @param sentTo the incarnation of the process that it was sent to
-     * @param sentClock the newest clock which that process had lent when it was sent, in its nanoseconds
+     * @param sentTo the incarnation of the process that the attempt was sent to
+     * @param sentClock the latest clock reading of that process known when the attempt was sent, in that process's
+     *     nanoseconds
      */
     record Inquire(CallId id, long sentTo, long sentClock) implements Message {}
 
     /**
-     * Asks a former owner of a key what it knows of it. A former owner that knows nothing gives the key up for good.
+     * Queries a former owner of a key for its record of the key. A former owner without a record gives up the key for
+     * good.
      *
-     * @param ticket numbers the question
-     * @param asked the id of the former owner; another upstream at its address can't answer for it
-     * @param asker the id of the upstream that owns the key now
-     * @param vouch whether the former owner is also to say that nobody before it ran the key
+     * @param ticket correlates the reply with the query
+     * @param asked the id of the former owner; another upstream at the same address can't answer for it
+     * @param asker the id of the current owner of the key
+     * @param vouch whether the former owner must also vouch that no owner before it ran the key
      * @param key the key
      */
     record KeyAsk(long ticket, String asked, String asker, boolean vouch, String key) implements Message {}
 
     /**
-     * Answers {@link KeyAsk}, once the key's outcome is known.
+     * Replies to {@link KeyAsk}, once the key's outcome is known.
      *
-     * @param ticket the question
+     * @param ticket the ticket of the {@link KeyAsk}
      * @param fact what the former owner knows
      */
     record KeyTold(long ticket, KeyFact fact) implements Message {}
 
     /**
-     * Hands a settled key on, from a node that stops as planned.
+     * Transfers a settled key from a node that shuts down as planned.
      *
      * @param key the key
-     * @param fingerprint a hash of what its try asked for
-     * @param outcome its outcome
+     * @param fingerprint a hash of the request that used the key
+     * @param outcome the outcome of the key
      */
     record KeyHandOn(String key, long fingerprint, KeptAnswer outcome) implements Message {}
 
     /**
-     * Says that an upstream has handed on all its keys.
+     * Reports that an upstream has transferred all its keys.
      *
      * @param upstream the upstream's id
      */
     record KeysHandedOn(String upstream) implements Message {}
 
-    /** Asks for the routes that the other node has. */
+    /** Requests the routes of the other node. */
     record PlanWanted() implements Message {}
 
     /**
-     * Tells the routes that a node has in force, as their operator wrote them.
+     * Carries the routes in force on a node, in the form in which the operator wrote them.
      *
      * @param document the document
      */
     record PlanTold(byte[] document) implements Message {}
 
     /**
-     * What a former owner knows of a key.
+     * The record that a former owner has of a key.
      */
     sealed interface KeyFact {
-        /** It never ran the key and won't any more. */
+        /** The former owner never ran the key and never will. */
         record Unknown() implements KeyFact {}
 
-        /** It can't tell, since it was itself not sure of the owners before it. */
+        /** The former owner can't tell, since the owners before it are in doubt. */
         record Unsure() implements KeyFact {}
 
         /**
-         * It ran the key.
+         * The former owner ran the key.
          *
-         * @param fingerprint a hash of what the try asked for
+         * @param fingerprint a hash of the request that used the key
          * @param outcome the outcome
          */
         record Known(long fingerprint, KeptAnswer outcome) implements KeyFact {}
--- a/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A link that notes what is sent on it. */
+/** A link that records the messages sent on it. */
 public final class RecordingLink implements Link {
     private final List<Message> sent = new ArrayList<>();
     private boolean closed;
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void awaiting(int more) {
-        // Nobody looks at it in tests.
+    public void awaiting(int delta) {
+        // Tests don't use the count of awaited answers.
     }
 
     @Override
