--- a/kernel/src/main/java/org/verbenadyke/kernel/call/AnswerSink.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/AnswerSink.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * Takes one answer: a head, then data, then an end; or a refusal in place of the head; or an abort after it.
+ * Receives one answer: a head, then data, then an end. A refusal may replace the head, and an abort may replace the
+ * end.
  */
 public interface AnswerSink {
     /**
-     * Takes the head.
+     * Receives the head.
      *
      * @param status the HTTP status
      * @param headers the header fields
@@ -15,22 +16,22 @@
     void head(int status, List<HeaderField> headers);
 
     /**
-     * Takes a fragment of the body.
+     * Receives a fragment of the body.
      *
      * @param bytes the fragment
      */
     void data(byte[] bytes);
 
-    /** Takes the end of a whole answer. */
+    /** Called at the end of a complete answer. */
     void end();
 
     /**
-     * Takes the final answer that no upstream gave.
+     * Receives a refusal: the final answer, which the system gives in place of an upstream.
      *
      * @param refusal the refusal
      */
     void refused(Refusal refusal);
 
-    /** Takes notice that the answer was cut short after its head; it must not be passed on as whole. */
+    /** Called when the answer breaks off after its head; a truncated answer must not be passed on as complete. */
     void aborted();
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/CallId.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/CallId.java
@@ -1,8 +1,8 @@
 package org.verbenadyke.kernel.call;
 
 /**
- * Names one attempt that one node sends to another. Never used twice: a process draws a new incarnation at its start
- * and counts its calls.
+ * Identifies one attempt that one node sends to another. An id is never reused: a process draws a new incarnation at
+ * its start and numbers its calls.
  *
  * @param incarnation the incarnation of the sending node
  * @param sequence the number of the call in that incarnation
@@ -13,7 +13,7 @@
         return Long.toHexString(incarnation) + "/" + Long.toHexString(sequence);
     }
 
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out: the record's own methods are generated at their first use, which slows the start of a process.
     @Override
     public boolean equals(Object other) {
         return other instanceof CallId o && incarnation == o.incarnation && sequence == o.sequence;
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
@@ -1,8 +1,8 @@
 package org.verbenadyke.kernel.call;
 
 /**
- * How much a request matters, from the least to the most. Set by the operators' rules where a request enters and
- * inherited by all calls below.
+ * Importance of a request, in ascending order. Set by the operators' rules at the node where the request enters the
+ * system, and inherited by all nested calls.
  */
 public enum Importance {
     /** Shed first. */
@@ -14,23 +14,24 @@
     /** Shed last. */
     CRITICAL;
 
-    /** How many ranks exist over all importances and buckets. */
+    /** Number of ranks over all importances and buckets. */
     public static final int RANKS = values().length * RequestId.BUCKETS;
 
     /**
-     * How far up in its band a request begins whose caller was refused and came back, in ranks. Load pattern: lasting
-     * overload, in which a caller that comes back as told would else be refused again as likely as a new one. Less than
-     * half a band, so that new requests are not all sent away first. Both kinds spread over as many ranks as are left,
-     * so that a level high in the band shuts out nearly all of either.
+     * Added to the rank of a request whose caller was refused and retries after a Retry-After, within the band of its
+     * importance. Load pattern: lasting overload, in which a caller that retries when asked to would otherwise be
+     * refused again as likely as a new caller. Less than half a band, so that not all new requests are refused first.
+     * Both kinds spread over as many ranks as are left, so that a level high in the band refuses nearly all of either
+     * kind.
      */
     private static final int RETURNING_CALLER_BOOST = 96;
 
     /**
-     * Combines importance and bucket into the rank that admission compares with its level.
+     * Combines importance and bucket into the rank that is compared with the admission level.
      *
      * @param request the request
-     * @param returning whether its caller was refused and came back
-     * @return the rank, from 0 to {@link #RANKS} - 1; higher is shed later
+     * @param returning whether the caller was refused before and retries after a Retry-After
+     * @return the rank, from 0 to {@link #RANKS} - 1; higher ranks are shed later
      */
     public int rank(RequestId request, boolean returning) {
         int spread = request.bucket() * (RequestId.BUCKETS - RETURNING_CALLER_BOOST) / RequestId.BUCKETS;
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Refusal.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Refusal.java
@@ -4,14 +4,14 @@
  * A final answer that the system gives in place of the upstream.
  *
  * @param state whether the request ran
- * @param reason why it was refused
- * @param retryAfterMillis when the caller may come back, in milliseconds from now; 0 when there is no use in it
+ * @param reason the reason for the refusal
+ * @param retryAfterMillis the Retry-After delay, in milliseconds; 0 when a retry is pointless
  */
 public record Refusal(RunState state, RefusalReason reason, long retryAfterMillis) {
     /**
-     * Words the same refusal with another time.
+     * Returns a copy with another Retry-After delay.
      *
-     * @param millis when the caller may come back, in milliseconds from now
+     * @param millis the Retry-After delay, in milliseconds
      * @return the refusal
      */
     public Refusal withRetryAfter(long millis) {
@@ -19,20 +19,20 @@
     }
 
     /**
-     * Words the same refusal with what else is known of the request.
+     * Returns a copy with another execution status.
      *
-     * @param known whether it ran
+     * @param newState whether the request ran
      * @return the refusal
      */
-    public Refusal withState(RunState known) {
-        return new Refusal(known, reason, retryAfterMillis);
+    public Refusal withState(RunState newState) {
+        return new Refusal(newState, reason, retryAfterMillis);
     }
 
     /**
-     * Refuses a request that was not run.
+     * Creates a refusal of a request that was not run.
      *
-     * @param reason why
-     * @param retryAfterMillis when to come back, in milliseconds
+     * @param reason the reason
+     * @param retryAfterMillis the Retry-After delay, in milliseconds
      * @return the refusal
      */
     public static Refusal notRun(RefusalReason reason, long retryAfterMillis) {
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Refuses a request whose outcome isn't known.
+     * Creates a refusal of a request whose outcome is unknown.
      *
-     * @param reason why
+     * @param reason the reason
      * @return the refusal
      */
     public static Refusal mayHaveRun(RefusalReason reason) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/RefusalReason.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/RefusalReason.java
@@ -3,70 +3,73 @@
 import java.util.Locale;
 
 /**
- * The closed list of reasons for a refusal. Each has a counter.
+ * All reasons for a refusal. Each reason has its own counter.
  */
 public enum RefusalReason {
-    /** No upstream of the service is known or all are unfit. */
+    /** No upstream of the service is known, or none accepts calls. */
     NO_UPSTREAM(503),
     /** The path does not name a service. */
     NO_SERVICE(404),
-    /** The request has a part that can't be used. */
+    /** The request has an invalid part. */
     BAD_REQUEST(400),
-    /** The body is over the limit. */
+    /** The body exceeds the size limit. */
     BODY_TOO_LARGE(413),
-    /** The calling upstream's context is not known here. */
+    /** The context token of the calling upstream is unknown to the node. */
     CONTEXT_UNKNOWN(409),
-    /** The admission level deeper in the chain is above the request's rank. */
+    /** The admission level of a service deeper in the call chain exceeds the request's rank; the call was not sent. */
     SHED_EARLY(503),
-    /** The admission level beside the upstream is above the request's rank. */
+    /** The admission level of the called node exceeds the request's rank. */
     SHED_LEVEL(503),
-    /** The queue beside the upstream is full of requests that matter more. */
+    /** The queue of the called node is full of more important requests. */
     SHED_QUEUE(503),
-    /** The deadline can't be met any more. */
+    /** The deadline has passed or can no longer be met. */
     DEADLINE(504),
-    /** The upstream itself said that it did not run the call. */
+    /** The upstream reported that it did not run the call. */
     UPSTREAM_REFUSED(503),
-    /** No routes are known yet. */
+    /** The node has received no routes yet. */
     NO_PLAN(503),
-    /** The upstream is leaving. */
+    /** The upstream is draining. */
     DRAINING(503),
     /** The node is stopping. */
     STOPPING(503),
-    /** The node beside the upstream can't be connected to. */
+    /** The called node can't be connected to. */
     CONNECT_FAILED(503),
-    /** The connection to the node beside the upstream was lost. */
+    /** The connection to the called node was lost. */
     CONNECTION_LOST(502),
     /** The upstream can't be connected to. */
     UPSTREAM_UNREACHABLE(503),
-    /** The upstream broke its connection off. */
+    /** The upstream closed its connection before the answer was complete. */
     UPSTREAM_BROKEN(502),
-    /** The upstream ended while it had the call. */
+    /** The upstream crashed with the call in flight. */
     UPSTREAM_ENDED(502),
-    /** The call's id was sealed: it never ran and never will. */
+    /** The call's id was sealed: the call never ran and never will. */
     SEALED(503),
-    /** The call waited unseen for longer than its time to live, as after a pause of the process. */
+    /** The call was read only after its time to live had passed, for example after a pause of the process. */
     FENCED(503),
-    /** The caller left. */
+    /** The caller disconnected. */
     CANCELLED(499),
-    /** The key's first try is still running. */
+    /** The first attempt with the key is still running. */
     KEY_RUNNING(409),
-    /** The key's first try may have run and its answer is gone. */
+    /** The first attempt with the key may have run, and its answer is lost. */
     KEY_OUTCOME_UNKNOWN(409),
-    /** The key was used before for another request. */
+    /** The key was used before for a different request. */
     KEY_REUSED(422),
-    /** The key's owner changed lately, and an earlier try may predate the change. */
+    /** The owner of the key changed recently, and an earlier attempt may predate the change. */
     KEY_OWNER_CHANGED(409),
     /** The key belongs to another node. */
     KEY_NOT_OWNER(503),
-    /** Upstreams ended, one after the other, while they had the same request. */
+    /** The request is quarantined: upstreams crashed, one after the other, with the same request in flight. */
     QUARANTINED(503),
-    /** The caller brings no key that a team holds. */
+    /** The caller's API key is missing or belongs to no team. */
     UNAUTHENTICATED(401),
     /** The caller's team has used up its rate limit. */
     RATE_LIMITED(429),
-    /** The node can't tell now whether the caller's team holds the key or has used up its rate limit. */
+    /**
+     * The node can't determine at present whether the API key belongs to a team, or whether the team has used up its
+     * rate limit.
+     */
     TEAM_UNCERTAIN(503),
-    /** A fault inside the node. */
+    /** An internal error of the node. */
     INTERNAL(500);
 
     private final int status;
@@ -76,7 +79,7 @@
     }
 
     /**
-     * Returns the HTTP status towards the caller.
+     * Returns the HTTP status sent to the caller.
      *
      * @return the status
      */
@@ -85,7 +88,7 @@
     }
 
     /**
-     * Returns the name used towards callers and in counters.
+     * Returns the name sent to callers and used in counters.
      *
      * @return the name, in lower case with hyphens
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/RequestId.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/RequestId.java
@@ -1,13 +1,13 @@
 package org.verbenadyke.kernel.call;
 
 /**
- * Names one request of a caller along its whole chain.
+ * Identifies one request of a caller along its whole call chain.
  *
- * @param incarnation the incarnation of the node where the request entered
- * @param sequence a number that this incarnation gives out once
+ * @param incarnation the incarnation of the node where the request entered the system
+ * @param sequence a number that the incarnation assigns only once
  */
 public record RequestId(long incarnation, long sequence) {
-    /** How many admission buckets there are; a power of two. */
+    /** Number of admission buckets; a power of two. */
     public static final int BUCKETS = 256;
 
     private static final long MIX_1 = 0xff51afd7ed558ccdL;
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/RetryReason.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/RetryReason.java
@@ -3,24 +3,27 @@
 import java.util.Locale;
 
 /**
- * The closed list of reasons for another attempt, or for going without one. Each has a counter.
+ * All reasons for another attempt, or for not making one. Each reason has its own counter.
  */
 public enum RetryReason {
-    /** The upstream answered that it failed. */
+    /** The upstream answered with a failure. */
     UPSTREAM_FAILED,
-    /** The node beside the upstream shed the call. */
+    /** The called node shed the call. */
     SHED,
-    /** The connection was lost while an idempotent call was under way. */
+    /** The connection was lost with an idempotent call in flight. */
     CONNECTION_LOST,
-    /** The upstream ended while it had an idempotent call. */
+    /** The upstream crashed with an idempotent call in flight. */
     UPSTREAM_ENDED,
-    /** The try took too long, where a policy bounds single tries. */
+    /** The attempt timed out; only policies with a timeout per attempt. */
     TIMED_OUT,
-    /** The call was not run since the upstream leaves or can't be reached; sent elsewhere without a retry. */
+    /**
+     * The call was not run, since the upstream is draining, refuses it or can't be reached; sent to another upstream
+     * without using up a retry.
+     */
     REROUTED,
-    /** No retry: the request's budget is spent. */
+    /** No retry: the retry budget of the request is used up. */
     DENIED_BUDGET,
-    /** No retry: the pair of services spent its share. */
+    /** No retry: the retry ratio of the pair of services is used up. */
     DENIED_RATIO,
     /** No retry: the deadline leaves no time. */
     DENIED_DEADLINE;
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/RunState.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/RunState.java
@@ -1,14 +1,14 @@
 package org.verbenadyke.kernel.call;
 
 /**
- * What a refusal says about the request's effect.
+ * Execution status of a refused request.
  */
 public enum RunState {
-    /** It was never handed to an upstream and never will be. */
+    /** The request was never handed to an upstream and never will be. */
     NOT_RUN("not-run"),
-    /** It was handed over and its outcome isn't known. */
+    /** The request was handed to an upstream and its outcome is unknown. */
     MAY_HAVE_RUN("may-have-run"),
-    /** It ran, but its answer can't be given. */
+    /** The request ran, but its answer is not available. */
     RAN("ran");
 
     private final String label;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Returns the name used towards callers.
+     * Returns the name sent to callers.
      *
      * @return the name, in lower case with hyphens
      */
--- a/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Notes what a caller gets: {@code head 200}, {@code data hello}, {@code end}, {@code aborted}, or {@code refused} with
- * run state, reason and when to come back.
+ * Records what a caller receives: {@code head 200}, {@code data hello}, {@code end}, {@code aborted}, or {@code
+ * refused} with run state, reason and Retry-After delay.
  *
- * @param got where it is noted
+ * @param got the list to record to
  */
 public record RecordingSink(List<String> got) implements AnswerSink {
     @Override
