--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
@@ -60,7 +60,7 @@
      * @param call the call
      * @param nowNanos the time
      */
-    public void add(Waiting call, long nowNanos) {
+    public void add(WaitingCall call, long nowNanos) {
         Entry entry = new Entry(call, call.rank(), arrivalNumbers.getAndIncrement(), nowNanos);
         inRetentionOrder.add(entry);
         inServiceOrder.add(entry);
@@ -100,7 +100,7 @@
      * @param call the call
      * @return whether the call still waited
      */
-    public boolean remove(Waiting call) {
+    public boolean remove(WaitingCall call) {
         for (Entry entry : inServiceOrder) {
             if (entry.call() == call && inServiceOrder.remove(entry)) {
                 inRetentionOrder.remove(entry);
@@ -135,5 +135,5 @@
      * @param arrival the order of arrival, which decides among equals
      * @param sinceNanos when the call began to wait, in nanoseconds
      */
-    public record Entry(Waiting call, int rank, long arrival, long sinceNanos) {}
+    public record Entry(WaitingCall call, int rank, long arrival, long sinceNanos) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -62,7 +62,7 @@
             targetIncarnation = newLink.peerIncarnation();
             targetClock = newLink.peerClock();
         }
-        newLink.awaiting(1);
+        newLink.adjustAwaited(1);
         countedOnLink = true;
         this.link = newLink;
     }
@@ -70,7 +70,7 @@
     /** Stops counting as an awaited answer of the link; {@link #link} still returns the link. */
     void unbind() {
         if (link != null && countedOnLink) {
-            link.awaiting(-1);
+            link.adjustAwaited(-1);
         }
         countedOnLink = false;
     }
@@ -125,8 +125,8 @@
     void applyReport(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
         request.observer().serviceReached(request.service());
-        if (!report.below().service().isEmpty()) {
-            request.observer().serviceReached(report.below().service());
+        if (!report.deeperLevel().service().isEmpty()) {
+            request.observer().serviceReached(report.deeperLevel().service());
         }
     }
 
@@ -151,7 +151,7 @@
      * whichever node survives reports the crash to the others.
      */
     void upstreamCrashed(Dispatcher.Parts parts, Request request) {
-        parts.quarantine().ended(request.content(), candidate.upstream().id());
+        parts.quarantine().recordCrash(request.content(), candidate.upstream().id());
         upstreamFailed(parts);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -11,11 +11,11 @@
 import org.verbenadyke.kernel.call.RequestId;
 import org.verbenadyke.kernel.call.RetryReason;
 import org.verbenadyke.kernel.call.RunState;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Choice;
 import org.verbenadyke.kernel.routing.RouteQuery;
@@ -32,7 +32,7 @@
     private final Request request;
     private final String pathClass;
     private final AnswerSink sink;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Set<String> tried = new HashSet<>();
     private Attempt current;
     private boolean finished;
@@ -135,13 +135,13 @@
                 request.observer().serviceReached(request.service());
                 refuse(RefusalReason.SHED_EARLY);
             }
-            case Choice.Nowhere n -> refuse(RefusalReason.NO_UPSTREAM);
+            case Choice.NoCandidate n -> refuse(RefusalReason.NO_UPSTREAM);
         }
     }
 
     private void openAttempt(Attempt attempt) {
         current = attempt;
-        if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held quarantined) {
+        if (parts.quarantine().statusAtEntry(request.content()) instanceof QuarantineStatus.Quarantined quarantined) {
             finishRefused(parts.quarantine().refusal(request.id(), quarantined));
             return;
         }
@@ -168,7 +168,7 @@
         if (link.get().closed()) {
             handleLinkLoss(attempt);
         }
-        long timeout = dispatcher.settings().tryNanos();
+        long timeout = dispatcher.settings().attemptTimeoutNanos();
         if (timeout > 0 && request.idempotent()) {
             parts.timers().after(timeout, () -> serial.run(() -> attemptTimedOut(attempt)));
         }
@@ -195,10 +195,10 @@
         }
         if (RetryRules.isShed(m.status())) {
             attempt.candidate().shed(now);
-        } else if (!m.settled()) {
+        } else if (!m.retriesExhausted()) {
             attempt.upstreamFailed(parts);
         }
-        if (!RetryRules.isRetryable(request, m, dispatcher.settings().perHop())) {
+        if (!RetryRules.isRetryable(request, m, dispatcher.settings().retryPerHop())) {
             request.observer().childFailed();
             commit(attempt, m);
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
@@ -3,22 +3,22 @@
 /**
  * Settings for retries of requests.
  *
- * @param ratio retries allowed per success between a pair of services; 0 or less disables the limit
- * @param burst how many of the allowed retries can be saved up
- * @param perHop whether each hop retries on its own, as in the baseline
- * @param tryNanos the timeout of one attempt, in nanoseconds; 0 to wait until the deadline
- * @param everyRetryCounts whether the ratio also limits the retries after a lost connection
- * @param callsExempt whether calls inside a chain are sent regardless of the admission level that their upstream
+ * @param retryRatio retries allowed per success between a pair of services; 0 or less disables the limit
+ * @param maxSavedRetries how many of the allowed retries can be saved up
+ * @param retryPerHop whether each hop retries on its own, as in the baseline
+ * @param attemptTimeoutNanos the timeout of one attempt, in nanoseconds; 0 to wait until the deadline
+ * @param ratioCoversLostConnections whether the ratio also limits the retries after a lost connection
+ * @param nestedCallsExempt whether calls inside a chain are sent regardless of the admission level that their upstream
  *     reports
  * @param retryAfterMillis the minimum Retry-After delay of a refused caller, in milliseconds
  */
 public record DispatchSettings(
-        double ratio,
-        int burst,
-        boolean perHop,
-        long tryNanos,
-        boolean everyRetryCounts,
-        boolean callsExempt,
+        double retryRatio,
+        int maxSavedRetries,
+        boolean retryPerHop,
+        long attemptTimeoutNanos,
+        boolean ratioCoversLostConnections,
+        boolean nestedCallsExempt,
         long retryAfterMillis) {
     private static final double DEFAULT_RATIO = 0.1;
     private static final int DEFAULT_BURST = 20;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RetryReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.link.Links;
 import org.verbenadyke.kernel.message.Link;
@@ -109,7 +109,7 @@
      *
      * @return the number of attempts
      */
-    public int underWay() {
+    public int inFlight() {
         return attempts.size();
     }
 
@@ -141,7 +141,7 @@
      * the settings exempt such calls.
      */
     int rank(Request request) {
-        boolean exempt = settings.callsExempt() && request.depth() > 0;
+        boolean exempt = settings.nestedCallsExempt() && request.depth() > 0;
         if (exempt) {
             return Importance.RANKS;
         }
@@ -171,7 +171,7 @@
         return RetryAfter.spread(settings.retryAfterMillis(), parts.random.get());
     }
 
-    void afterKeyOwnerChange(Serial serial, Runnable step) {
+    void afterKeyOwnerChange(SerialExecutor serial, Runnable step) {
         parts.timers.after(KEY_OWNER_CHANGE_PAUSE_NANOS, () -> serial.run(step));
     }
 
@@ -187,7 +187,8 @@
 
     RatioBudget retryRatio(Request request) {
         return retryRatios.computeIfAbsent(
-                new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.ratio(), settings.burst()));
+                new Pair(request.caller(), request.service()),
+                p -> RatioBudget.of(settings.retryRatio(), settings.maxSavedRetries()));
     }
 
     private static Optional<CallId> idOf(Message message) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
@@ -20,8 +20,8 @@
     static void request(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> callback) {
         RatioBudget ratio = dispatcher.retryRatio(request);
         boolean connectionLost = reason == RetryReason.CONNECTION_LOST || reason == RetryReason.UPSTREAM_ENDED;
-        boolean counted = dispatcher.settings().everyRetryCounts() || !connectionLost;
-        boolean limitedByRatio = dispatcher.settings().ratio() > 0 && counted;
+        boolean counted = dispatcher.settings().ratioCoversLostConnections() || !connectionLost;
+        boolean limitedByRatio = dispatcher.settings().retryRatio() > 0 && counted;
         if (limitedByRatio && !ratio.take()) {
             dispatcher.parts().counters().retried(RetryReason.DENIED_RATIO);
             callback.accept(false);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
@@ -32,7 +32,7 @@
      * is final.
      */
     static boolean isRetryable(Request request, Message.Head head, boolean perHop) {
-        boolean settled = head.settled() && !perHop;
+        boolean settled = head.retriesExhausted() && !perHop;
         return request.idempotent()
                 && !settled
                 && head.status() != NOT_IMPLEMENTED
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void awaiting(int delta) {
+    public void adjustAwaited(int delta) {
         awaitedAnswers.addAndGet(delta);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
@@ -34,7 +34,7 @@
      *
      * @param delta 1 or -1
      */
-    void awaiting(int delta);
+    void adjustAwaited(int delta);
 
     /**
      * Returns whether the link is closed.
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RequestId;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * The messages between two nodes on one connection.
@@ -76,12 +76,12 @@
      * @param ticket correlates the reply with the request
      * @param node the name of the requesting node
      * @param team the team
-     * @param held permits that the node has leased
+     * @param leased permits that the node has leased
      * @param returned permits that the node returns unused
      * @param needed permits for waiting requests
-     * @param wanted permits that the node requests, including those needed
+     * @param requested permits that the node requests, including those needed
      */
-    record QuotaAsk(long ticket, String node, String team, int held, int returned, int needed, int wanted)
+    record QuotaRequest(long ticket, String node, String team, int leased, int returned, int needed, int requested)
             implements Message {}
 
     /**
@@ -89,13 +89,14 @@
      *
      * @param ticket correlates the reply with the request
      * @param team the team
-     * @param dealt whether the sender is the permit allocator of the team at present; if not, the request must be
+     * @param fromAllocator whether the sender is the permit allocator of the team at present; if not, the request must be
      *     repeated or sent to another node
      * @param granted permits allocated to the requesting node
-     * @param afterMillis the time until another permit is available to the node, in milliseconds; 0 if all needed
+     * @param availableAfterMillis the time until another permit is available to the node, in milliseconds; 0 if all needed
      *     permits were granted
      */
-    record QuotaTold(long ticket, String team, boolean dealt, int granted, long afterMillis) implements Message {}
+    record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis)
+            implements Message {}
 
     /**
      * The HTTP request that an upstream receives.
@@ -129,9 +130,9 @@
      * @param directLevel the admission level of the node for requests that come from callers and not from another
      *     upstream
      * @param draining whether the upstream is draining
-     * @param below the highest admission level among the services that were called for the answer
+     * @param deeperLevel the highest admission level among the services that were called for the answer
      */
-    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, Below below) {
+    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, DeeperLevel deeperLevel) {
         /**
          * Returns the admission level of the call's path: the highest of the node and of the services deeper in the
          * call chain.
@@ -139,7 +140,7 @@
          * @return the rank below which calls are refused
          */
         public int pathLevel() {
-            return Math.max(level, below.level());
+            return Math.max(level, deeperLevel.level());
         }
     }
 
@@ -150,9 +151,9 @@
      * @param level the rank below which the service refuses calls
      * @param ageMillis the age of the level, in milliseconds
      */
-    record Below(String service, int level, int ageMillis) {
+    record DeeperLevel(String service, int level, int ageMillis) {
         /** No service was called. */
-        public static final Below NOTHING = new Below("", 0, 0);
+        public static final DeeperLevel NONE = new DeeperLevel("", 0, 0);
     }
 
     /**
@@ -161,11 +162,12 @@
      * @param id the attempt
      * @param status the HTTP status
      * @param headers the header fields
-     * @param settled whether a failure was already retried as often as allowed deeper in the call chain, so that no
+     * @param retriesExhausted whether a failure was already retried as often as allowed deeper in the call chain, so that no
      *     further retry may follow
      * @param report the state of the answering node
      */
-    record Head(CallId id, int status, List<HeaderField> headers, boolean settled, Report report) implements Message {}
+    record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report)
+            implements Message {}
 
     /**
      * A fragment of an answer's body.
@@ -230,31 +232,32 @@
      * whose record of received ids reaches back to when the attempt was sent, seals its id.
      *
      * @param id the attempt
-     * @param sentTo the incarnation of the process that the attempt was sent to
-     * @param sentClock the latest clock reading of that process known when the attempt was sent, in that process's
+     * @param targetIncarnation the incarnation of the process that the attempt was sent to
+     * @param targetClock the latest clock reading of that process known when the attempt was sent, in that process's
      *     nanoseconds
      */
-    record Inquire(CallId id, long sentTo, long sentClock) implements Message {}
+    record Inquire(CallId id, long targetIncarnation, long targetClock) implements Message {}
 
     /**
      * Queries a former owner of a key for its record of the key. A former owner without a record gives up the key for
      * good.
      *
      * @param ticket correlates the reply with the query
-     * @param asked the id of the former owner; another upstream at the same address can't answer for it
-     * @param asker the id of the current owner of the key
-     * @param vouch whether the former owner must also vouch that no owner before it ran the key
+     * @param formerOwner the id of the former owner; another upstream at the same address can't answer for it
+     * @param newOwner the id of the current owner of the key
+     * @param vouchForPredecessors whether the former owner must also vouch that no owner before it ran the key
      * @param key the key
      */
-    record KeyAsk(long ticket, String asked, String asker, boolean vouch, String key) implements Message {}
+    record KeyQuery(long ticket, String formerOwner, String newOwner, boolean vouchForPredecessors, String key)
+            implements Message {}
 
     /**
-     * Replies to {@link KeyAsk}, once the key's outcome is known.
+     * Replies to {@link KeyQuery}, once the key's outcome is known.
      *
-     * @param ticket the ticket of the {@link KeyAsk}
+     * @param ticket the ticket of the {@link KeyQuery}
      * @param fact what the former owner knows
      */
-    record KeyTold(long ticket, KeyFact fact) implements Message {}
+    record KeyReply(long ticket, KeyFact fact) implements Message {}
 
     /**
      * Transfers a settled key from a node that shuts down as planned.
@@ -263,34 +266,34 @@
      * @param fingerprint a hash of the request that used the key
      * @param outcome the outcome of the key
      */
-    record KeyHandOn(String key, long fingerprint, KeptAnswer outcome) implements Message {}
+    record KeyTransfer(String key, long fingerprint, StoredOutcome outcome) implements Message {}
 
     /**
      * Reports that an upstream has transferred all its keys.
      *
      * @param upstream the upstream's id
      */
-    record KeysHandedOn(String upstream) implements Message {}
+    record KeyTransferEnd(String upstream) implements Message {}
 
     /** Requests the routes of the other node. */
-    record PlanWanted() implements Message {}
+    record PlanRequest() implements Message {}
 
     /**
      * Carries the routes in force on a node, in the form in which the operator wrote them.
      *
      * @param document the document
      */
-    record PlanTold(byte[] document) implements Message {}
+    record PlanReply(byte[] document) implements Message {}
 
     /**
      * The record that a former owner has of a key.
      */
     sealed interface KeyFact {
         /** The former owner never ran the key and never will. */
-        record Unknown() implements KeyFact {}
+        record NeverRan() implements KeyFact {}
 
         /** The former owner can't tell, since the owners before it are in doubt. */
-        record Unsure() implements KeyFact {}
+        record Undetermined() implements KeyFact {}
 
         /**
          * The former owner ran the key.
@@ -298,6 +301,6 @@
          * @param fingerprint a hash of the request that used the key
          * @param outcome the outcome
          */
-        record Known(long fingerprint, KeptAnswer outcome) implements KeyFact {}
+        record Known(long fingerprint, StoredOutcome outcome) implements KeyFact {}
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.call.RunState;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Writes one answer to the calling node. The answer of an idempotent call is streamed as flow-control credit allows.
@@ -75,7 +75,7 @@
     }
 
     /** Sends the stored answer of an earlier attempt as the answer. */
-    void writeWhole(KeptAnswer.Whole whole, Link link, Message.Report report) {
+    void writeWhole(StoredOutcome.CompleteAnswer whole, Link link, Message.Report report) {
         head = new Message.Head(id, whole.status(), whole.headers(), true, report);
         stored.writeBytes(whole.body());
         complete = true;
@@ -87,16 +87,16 @@
         if (!complete || !storing) {
             return false;
         }
-        head = new Message.Head(id, head.status(), head.headers(), head.settled(), report.get());
+        head = new Message.Head(id, head.status(), head.headers(), head.retriesExhausted(), report.get());
         sendStored(link);
         return true;
     }
 
-    KeptAnswer stored() {
+    StoredOutcome stored() {
         if (!complete || !storing) {
-            return new KeptAnswer.Lost(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
+            return new StoredOutcome.NoAnswer(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
         }
-        return new KeptAnswer.Whole(head.status(), head.headers(), stored.toByteArray());
+        return new StoredOutcome.CompleteAnswer(head.status(), head.headers(), stored.toByteArray());
     }
 
     private void sendStored(Link link) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -173,7 +173,7 @@
 
     void refuse(Link link, Message.Call call, Refusal refusal, Optional<CallContext> context) {
         Message.Report report = report(context);
-        parts.decisions.note(new Decision.TurnedAway(
+        parts.decisions.note(new Decision.CallRefused(
                 call.request(),
                 call.target().upstream(),
                 refusal.state(),
@@ -196,8 +196,8 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.Below below = context.map(c -> parts.levels.highest(c.services(), parts.timers.nanos()))
-                .orElse(Message.Below.NOTHING);
+        Message.DeeperLevel below = context.map(c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
+                .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
             return new Message.Report(0, 0, 0, 0, false, below);
@@ -235,8 +235,8 @@
         }
         String id = call.target().upstream();
         RequestDigest digest = RequestDigest.of(call.content());
-        parts.decisions.note(new Decision.EndedUnder(call.request(), id, digest));
-        parts.quarantine.ended(digest, id);
+        parts.decisions.note(new Decision.UpstreamCrashed(call.request(), id, digest));
+        parts.quarantine.recordCrash(digest, id);
         return RefusalReason.UPSTREAM_ENDED;
     }
 
@@ -279,7 +279,7 @@
 
     /** Refuses a call and retains only that it never ran. */
     private void refuseUntracked(Link link, Message.Call call, RefusalReason reason) {
-        seenCalls.neverRuns(call.id());
+        seenCalls.markNeverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
     }
 
@@ -293,7 +293,7 @@
         Refusal refusal = sealIfNeverRun(inquiry)
                 ? notRun(RefusalReason.SEALED)
                 : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
-        parts.decisions.note(new Decision.FateTold(id, refusal.state(), refusal.reason(), parts.incarnation));
+        parts.decisions.note(new Decision.StatusReported(id, refusal.state(), refusal.reason(), parts.incarnation));
         refuse(link, id, refusal, report(Optional.empty()));
     }
 
@@ -305,15 +305,15 @@
      */
     private boolean sealIfNeverRun(Message.Inquire inquiry) {
         CallId id = inquiry.id();
-        if (inquiry.sentTo() != parts.incarnation) {
+        if (inquiry.targetIncarnation() != parts.incarnation) {
             return false;
         }
         if (seenCalls.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seenCalls.claim(id) && seenCalls.reachesBackTo(inquiry.sentClock());
+        boolean neverArrived = seenCalls.claim(id) && seenCalls.coversSince(inquiry.targetClock());
         if (neverArrived) {
-            seenCalls.neverRuns(id);
+            seenCalls.markNeverRuns(id);
         }
         return neverArrived;
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
 
@@ -13,7 +13,7 @@
 final class IdleTimeout implements Subscription {
     private final TimerService timers;
     private final long timeoutNanos;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final BooleanSupplier expectingMore;
     private final Runnable onExpired;
     private long progressNanos;
@@ -21,7 +21,11 @@
     private boolean stopped;
 
     private IdleTimeout(
-            TimerService timers, long timeoutNanos, Serial serial, BooleanSupplier expectingMore, Runnable onExpired) {
+            TimerService timers,
+            long timeoutNanos,
+            SerialExecutor serial,
+            BooleanSupplier expectingMore,
+            Runnable onExpired) {
         this.timers = timers;
         this.timeoutNanos = timeoutNanos;
         this.serial = serial;
@@ -32,7 +36,11 @@
 
     /** Starts the timeout; {@code onExpired} is run at most once, in the serial executor. */
     static IdleTimeout start(
-            TimerService timers, long timeoutNanos, Serial serial, BooleanSupplier expectingMore, Runnable onExpired) {
+            TimerService timers,
+            long timeoutNanos,
+            SerialExecutor serial,
+            BooleanSupplier expectingMore,
+            Runnable onExpired) {
         IdleTimeout timeout = new IdleTimeout(timers, timeoutNanos, serial, expectingMore, onExpired);
         timeout.arm(timeoutNanos);
         return timeout;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
@@ -2,10 +2,10 @@
 
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
 import org.verbenadyke.kernel.once.KeyTable;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Claims the idempotency key of a call before the call may wait for a slot, or completes the call with the outcome of
@@ -15,10 +15,10 @@
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final Host host;
 
-    private KeyedAttempt(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    private KeyedAttempt(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         this.server = server;
         this.local = local;
         this.call = call;
@@ -26,7 +26,7 @@
         this.host = host;
     }
 
-    static void begin(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    static void begin(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         KeyedAttempt attempt = new KeyedAttempt(server, local, call, serial, host);
         server.parts()
                 .keys()
@@ -36,13 +36,13 @@
     private void onClaimed(KeyClaims.Outcome outcome) {
         if (!host.waiting()) {
             if (outcome instanceof KeyClaims.Outcome.Owned(KeyTable.Claim.Granted g)) {
-                local.keys().withdraw(call.key(), new KeptAnswer.Lost(server.notRun(RefusalReason.CANCELLED)));
+                local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(server.notRun(RefusalReason.CANCELLED)));
             }
             return;
         }
         switch (outcome) {
             case KeyClaims.Outcome.Owned owned -> onDecided(owned.claim());
-            case KeyClaims.Outcome.Elsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
+            case KeyClaims.Outcome.OwnedElsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
             case KeyClaims.Outcome.Uncertain u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
         }
     }
@@ -57,13 +57,13 @@
     }
 
     /** Completes the call with the outcome of the earlier attempt. */
-    private void onEarlierOutcome(KeptAnswer stored) {
+    private void onEarlierOutcome(StoredOutcome stored) {
         if (!host.waiting()) {
             return;
         }
         switch (stored) {
-            case KeptAnswer.Whole whole -> host.replayAnswer(whole);
-            case KeptAnswer.Lost lost -> host.refuseKeyed(lost.refusal());
+            case StoredOutcome.CompleteAnswer whole -> host.replayAnswer(whole);
+            case StoredOutcome.NoAnswer lost -> host.refuseKeyed(lost.refusal());
         }
     }
 
@@ -78,7 +78,7 @@
         void keyGranted();
 
         /** Answers with the stored answer of an earlier attempt. */
-        void replayAnswer(KeptAnswer.Whole whole);
+        void replayAnswer(StoredOutcome.CompleteAnswer whole);
 
         /** Refuses the call. */
         void refuseKeyed(Refusal refusal);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 
 /**
  * Decides for one received call whether it may be handed to the upstream, based on the known crashes of upstreams with
@@ -33,13 +33,13 @@
             refuse.accept(server.notRun(RefusalReason.DRAINING));
             return true;
         }
-        return switch (server.parts().quarantine().atUpstream(call.content())) {
-            case Standing.Free free -> false;
-            case Standing.Alone alone -> {
+        return switch (server.parts().quarantine().statusAtUpstream(call.content())) {
+            case QuarantineStatus.Unrestricted free -> false;
+            case QuarantineStatus.SoleSuspect alone -> {
                 suspected = true;
                 yield !server.suspectQueue().tryStart(suspect);
             }
-            case Standing.Held quarantined -> {
+            case QuarantineStatus.Quarantined quarantined -> {
                 refuse.accept(server.parts().quarantine().refusal(call.request(), quarantined));
                 yield true;
             }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
@@ -80,7 +80,7 @@
         void broken();
 
         /** Called when the exchange broke off because the upstream crashed: nothing listens at its address any more. */
-        default void upstreamEnded() {
+        default void upstreamCrashed() {
             broken();
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void awaiting(int delta) {
+    public void adjustAwaited(int delta) {
         // Tests don't use the count of awaited answers.
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -42,8 +42,8 @@
                     clock,
                     () -> new SplittableRandom(1),
                     Counters.create(),
-                    Ledger.off(),
-                    ServiceLevels.unknown(),
+                    Ledger.disabled(),
+                    ServiceLevels.empty(),
                     KeyClaims.alone(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
@@ -56,7 +56,7 @@
                 return null;
             },
             Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-            KeyTable.keeping(60_000 * MILLI),
+            KeyTable.withRetention(60_000 * MILLI),
             clock);
 
     RepeatedInquiryTest() {
