--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
@@ -60,16 +60,16 @@
 
     @Override
     public void endWindow(GateLoad load) {
-        int[] seen = new int[Importance.RANKS];
+        int[] arrived = new int[Importance.RANKS];
         int total = 0;
-        for (int i = 0; i < seen.length; i++) {
-            seen[i] = arrivals.getAndSet(i, 0);
-            total += seen[i];
+        for (int i = 0; i < arrived.length; i++) {
+            arrived[i] = arrivals.getAndSet(i, 0);
+            total += arrived[i];
         }
         long done = finished.sumThenReset();
         boolean over = overloads.sumThenReset() > 0;
         if (over && total >= MIN_ARRIVALS) {
-            raise(seen, Math.max(1, (long) (done * OVERLOADED_SHARE)));
+            raise(arrived, Math.max(1, (long) (done * OVERLOADED_SHARE)));
             return;
         }
         if (!over) {
@@ -77,13 +77,13 @@
         }
     }
 
-    private void raise(int[] seen, long capacity) {
+    private void raise(int[] arrived, long capacity) {
         step = FIRST_STEP;
         long admitted = 0;
         int rank = Importance.RANKS;
-        while (rank > 0 && admitted + seen[rank - 1] <= capacity) {
+        while (rank > 0 && admitted + arrived[rank - 1] <= capacity) {
             rank--;
-            admitted += seen[rank];
+            admitted += arrived[rank];
         }
         if (rank > level) {
             level = Math.min(rank, level + MAX_RISE);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
@@ -13,9 +13,9 @@
     private RetryPermit() {}
 
     /**
-     * Requests a retry. The callback receives the callback exactly once, possibly on another thread. A connectionLost
-     * connection is no sign of overload, and no more calls are sent again than were in flight, so only the budget of
-     * the chain limits such retries, unless the settings count every retry.
+     * Requests a retry. The callback receives the decision exactly once, possibly on another thread. A lost connection
+     * is no sign of overload, and no more calls are sent again than were in flight, so only the budget of the chain
+     * limits such retries, unless the settings count every retry.
      */
     static void request(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> callback) {
         RatioBudget ratio = dispatcher.retryRatio(request);
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -89,11 +89,11 @@
      *
      * @param ticket correlates the reply with the request
      * @param team the team
-     * @param fromAllocator whether the sender is the permit allocator of the team at present; if not, the request must be
-     *     repeated or sent to another node
+     * @param fromAllocator whether the sender is the permit allocator of the team at present; if not, the request must
+     *     be repeated or sent to another node
      * @param granted permits allocated to the requesting node
-     * @param availableAfterMillis the time until another permit is available to the node, in milliseconds; 0 if all needed
-     *     permits were granted
+     * @param availableAfterMillis the time until another permit is available to the node, in milliseconds; 0 if all
+     *     needed permits were granted
      */
     record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis)
             implements Message {}
@@ -162,8 +162,8 @@
      * @param id the attempt
      * @param status the HTTP status
      * @param headers the header fields
-     * @param retriesExhausted whether a failure was already retried as often as allowed deeper in the call chain, so that no
-     *     further retry may follow
+     * @param retriesExhausted whether a failure was already retried as often as allowed deeper in the call chain, so
+     *     that no further retry may follow
      * @param report the state of the answering node
      */
     record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report)
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -75,9 +75,9 @@
     }
 
     /** Sends the stored answer of an earlier attempt as the answer. */
-    void writeWhole(StoredOutcome.CompleteAnswer whole, Link link, Message.Report report) {
-        head = new Message.Head(id, whole.status(), whole.headers(), true, report);
-        stored.writeBytes(whole.body());
+    void writeWhole(StoredOutcome.CompleteAnswer earlier, Link link, Message.Report report) {
+        head = new Message.Head(id, earlier.status(), earlier.headers(), true, report);
+        stored.writeBytes(earlier.body());
         complete = true;
         sendStored(link);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -196,11 +196,12 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.DeeperLevel below = context.map(c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
+        Message.DeeperLevel deeperLevel = context.map(
+                        c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
                 .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
-            return new Message.Report(0, 0, 0, 0, false, below);
+            return new Message.Report(0, 0, 0, 0, false, deeperLevel);
         }
         Gate gate = local.gate();
         return new Message.Report(
@@ -209,7 +210,7 @@
                 gate.level(),
                 gate.directLevel(),
                 local.draining(),
-                below);
+                deeperLevel);
     }
 
     UpstreamPort.HandOver handOver(Message.Call call, CallContext context, long remainingNanos) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -267,9 +267,9 @@
     }
 
     @Override
-    public void replayAnswer(StoredOutcome.CompleteAnswer whole) {
+    public void replayAnswer(StoredOutcome.CompleteAnswer earlier) {
         server.parts().counters().count(Event.ANSWER_REPLAYED);
-        answer.writeWhole(whole, link, report());
+        answer.writeWhole(earlier, link, report());
         phase = Phase.FINISHED;
         complete();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
@@ -22,7 +22,7 @@
             KeyTable keys, Ledger ledger, String key, Optional<Refusal> refusal, StoredOutcome answer, long now) {
         boolean notRun = refusal.map(r -> r.state() == RunState.NOT_RUN)
                 .orElseGet(() -> answer.completeAnswer()
-                        .filter(w -> w.status() == UNAVAILABLE)
+                        .filter(a -> a.status() == UNAVAILABLE)
                         .isPresent());
         if (notRun) {
             ledger.keyFreed(key);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
@@ -62,8 +62,8 @@
             return;
         }
         switch (stored) {
-            case StoredOutcome.CompleteAnswer whole -> host.replayAnswer(whole);
-            case StoredOutcome.NoAnswer lost -> host.refuseKeyed(lost.refusal());
+            case StoredOutcome.CompleteAnswer answer -> host.replayAnswer(answer);
+            case StoredOutcome.NoAnswer none -> host.refuseKeyed(none.refusal());
         }
     }
 
@@ -78,7 +78,7 @@
         void keyGranted();
 
         /** Answers with the stored answer of an earlier attempt. */
-        void replayAnswer(StoredOutcome.CompleteAnswer whole);
+        void replayAnswer(StoredOutcome.CompleteAnswer earlier);
 
         /** Refuses the call. */
         void refuseKeyed(Refusal refusal);
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
@@ -86,14 +86,15 @@
     /** The load jumps to twice the capacity; during the first second the level has not risen yet. */
     @Test
     void finishesMoreRequestsAtTheOnsetWhenTheirCallsShareARank() {
-        double untied = servedAtOnset(false);
-        double tied = new LoadLevelReplayTest().servedAtOnset(true);
-        System.out.printf("replay of an onset: %.0f served when calls share a rank, else %.0f%n", tied, untied);
-        assertTrue(tied > 1.05 * untied, tied + " against " + untied);
+        double independent = servedAtOnset(false);
+        double shared = new LoadLevelReplayTest().servedAtOnset(true);
+        System.out.printf(
+                "replay of an onset: %.0f served when calls share a rank, otherwise %.0f%n", shared, independent);
+        assertTrue(shared > 1.05 * independent, shared + " against " + independent);
     }
 
-    private double servedAtOnset(boolean callsTied) {
-        callsShareRank = callsTied;
+    private double servedAtOnset(boolean sharedRank) {
+        callsShareRank = sharedRank;
         begin(QueueOrder.DUE, true, 2.2 * capacity());
         clock.advance(ONSET_SECONDS * SECOND);
         return served;
@@ -108,18 +109,18 @@
         return calls / CALLS;
     }
 
-    private double goodput(QueueOrder order, boolean heeds, double perSecond) {
-        begin(order, heeds, perSecond);
+    private double goodput(QueueOrder order, boolean appliesLevel, double perSecond) {
+        begin(order, appliesLevel, perSecond);
         clock.advance(WARM_UP_SECONDS * SECOND);
         long before = served;
-        long askedBefore = requested;
+        long requestedBefore = requested;
         clock.advance((SECONDS - WARM_UP_SECONDS) * SECOND);
-        requestedAfterWarmUp = requested - askedBefore;
+        requestedAfterWarmUp = requested - requestedBefore;
         return (double) (served - before) / (SECONDS - WARM_UP_SECONDS);
     }
 
-    private void begin(QueueOrder order, boolean heeds, double perSecond) {
-        entryAppliesLevel = heeds;
+    private void begin(QueueOrder order, boolean appliesLevel, double perSecond) {
+        entryAppliesLevel = appliesLevel;
         for (int i = 0; i < SPEEDS.length; i++) {
             gates.add(Gate.of(new GateSettings(true, 2, 8, 20 * MILLI, order), FixedLimit.of(LIMIT)));
             serviceNanos[i] = SERVICE_MILLIS * MILLI / SPEEDS[i];
@@ -129,7 +130,7 @@
         clock.every(IMPORTANT_GAP_NANOS, () -> {
             importantRequested++;
             Request request = new Request(importantRequested, Importance.NORMAL, 1);
-            if (!heeds || request.rank >= level()) {
+            if (!appliesLevel || request.rank >= level()) {
                 new Call(request, choose(), 0, 1).offer();
             }
         });
--- a/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
@@ -6,31 +6,31 @@
  * Records what a caller receives: {@code head 200}, {@code data hello}, {@code end}, {@code aborted}, or {@code
  * refused} with run state, reason and Retry-After delay.
  *
- * @param got the list to record to
+ * @param events the list to record to
  */
-public record RecordingSink(List<String> got) implements AnswerSink {
+public record RecordingSink(List<String> events) implements AnswerSink {
     @Override
     public void head(int status, List<HeaderField> headers) {
-        got.add("head " + status);
+        events.add("head " + status);
     }
 
     @Override
     public void data(byte[] bytes) {
-        got.add("data " + new String(bytes));
+        events.add("data " + new String(bytes));
     }
 
     @Override
     public void end() {
-        got.add("end");
+        events.add("end");
     }
 
     @Override
     public void refused(Refusal r) {
-        got.add("refused " + r.state() + " " + r.reason() + " " + r.retryAfterMillis());
+        events.add("refused " + r.state() + " " + r.reason() + " " + r.retryAfterMillis());
     }
 
     @Override
     public void aborted() {
-        got.add("aborted");
+        events.add("aborted");
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/CallerRetryPolicyTest.java
@@ -49,8 +49,8 @@
 
     @Test
     void keepsTheRetryAfterOfAQuarantinedRequest() {
-        Refusal held = Refusal.notRun(RefusalReason.QUARANTINED, 800);
-        assertEquals(held, policy.withRetryAfter(request(0, 600, false), held, 0));
+        Refusal quarantined = Refusal.notRun(RefusalReason.QUARANTINED, 800);
+        assertEquals(quarantined, policy.withRetryAfter(request(0, 600, false), quarantined, 0));
     }
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -124,25 +124,25 @@
 
     @Test
     void repeatsTheStoredAnswerOverANewConnection() {
-        Message.Call filing = call(false, "");
-        server.received(link, filing);
+        Message.Call call = call(false, "");
+        server.received(link, call);
         server.linkLost(link);
         answer(0, 201, "filed");
         RecordingLink fresh = new RecordingLink();
-        server.received(fresh, new Message.Inquire(filing.id(), 1, filing.receiverClock()));
+        server.received(fresh, new Message.Inquire(call.id(), 1, call.receiverClock()));
         assertEquals(201, ((Message.Head) fresh.sent().get(0)).status());
         assertEquals(1, handed.size());
     }
 
     @Test
     void aPendingRetryRequestIsRepeatedOverANewConnection() {
-        Message.Call filing = call(false, "");
-        server.received(link, filing);
+        Message.Call call = call(false, "");
+        server.received(link, call);
         server.context(token).orElseThrow().budget().spend(granted -> {});
         server.linkLost(link);
         RecordingLink fresh = new RecordingLink();
-        server.received(fresh, new Message.Inquire(filing.id(), 1, filing.receiverClock()));
-        assertEquals(List.of(new Message.Spend(filing.id(), 1)), fresh.sent());
+        server.received(fresh, new Message.Inquire(call.id(), 1, call.receiverClock()));
+        assertEquals(List.of(new Message.Spend(call.id(), 1)), fresh.sent());
     }
 
     @Test
