--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdaptiveLimit.java
@@ -120,14 +120,15 @@
             double previousThroughput,
             double previousLatency,
             Window window) {
-        State with(double newLimit, boolean newStarting, int newHold, Window w) {
-            return new State(newLimit, newStarting, newHold, previousLimit, previousThroughput, previousLatency, w);
+        State with(double newLimit, boolean newRampingUp, int newHoldWindows, Window w) {
+            return new State(
+                    newLimit, newRampingUp, newHoldWindows, previousLimit, previousThroughput, previousLatency, w);
         }
 
-        State settled(double newLimit, double throughput, double latency, int newHold, long now) {
+        State settled(double newLimit, double throughput, double latency, int newHoldWindows, long now) {
             double t = previousThroughput + SMOOTHING * (throughput - previousThroughput);
             double l = previousLatency + SMOOTHING * (latency - previousLatency);
-            return new State(newLimit, false, newHold, newLimit, t, l, Window.startingAt(now));
+            return new State(newLimit, false, newHoldWindows, newLimit, t, l, Window.startingAt(now));
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/ConcurrencyLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/ConcurrencyLimit.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.admission;
 
 /**
- * Limits how many calls an upstream may run at a time.
+ * Limits how many calls may be handed to an upstream at a time.
  */
 public interface ConcurrencyLimit {
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/LoadLevel.java
@@ -48,7 +48,7 @@
      */
     private static final double MAX_GROWTH_FACTOR = 1.25;
 
-    /** The admitted share below which a band counts as closed and requests of the next band are refused too. */
+    /** The admitted share below which a band counts as closed, so that the next band may be refused as well. */
     private static final double CLOSED_SHARE = 0.03;
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/AnswerSink.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/AnswerSink.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Receives one answer: a head, then data, then an end. A refusal may replace the head, and an abort may replace the
- * end.
+ * Receives one answer: a head, then data, then an end. A refusal may take the place of the head; an abort may follow
+ * the head.
  */
 public interface AnswerSink {
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
@@ -21,8 +21,8 @@
      * Added to the rank of a request whose caller was refused and retries after a Retry-After, within the band of its
      * importance. Load pattern: lasting overload, in which a caller that retries when asked to would otherwise be
      * refused again as likely as a new caller. Less than half a band, so that not all new requests are refused first.
-     * Both kinds spread over as many ranks as are left, so that a level high in the band refuses nearly all of either
-     * kind.
+     * Both kinds scaledBucket over as many ranks as are left, so that a level high in the band refuses nearly all of
+     * either kind.
      */
     private static final int RETURNING_CALLER_BOOST = 96;
 
@@ -34,7 +34,7 @@
      * @return the rank, from 0 to {@link #RANKS} - 1; higher ranks are shed later
      */
     public int rank(RequestId request, boolean returning) {
-        int spread = request.bucket() * (RequestId.BUCKETS - RETURNING_CALLER_BOOST) / RequestId.BUCKETS;
-        return ordinal() * RequestId.BUCKETS + spread + (returning ? RETURNING_CALLER_BOOST : 0);
+        int scaledBucket = request.bucket() * (RequestId.BUCKETS - RETURNING_CALLER_BOOST) / RequestId.BUCKETS;
+        return ordinal() * RequestId.BUCKETS + scaledBucket + (returning ? RETURNING_CALLER_BOOST : 0);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/call/RefusalReason.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/RefusalReason.java
@@ -14,7 +14,7 @@
     BAD_REQUEST(400),
     /** The body exceeds the size limit. */
     BODY_TOO_LARGE(413),
-    /** The context token of the calling upstream is unknown to the node. */
+    /** The context token of the calling upstream is unknown to its node. */
     CONTEXT_UNKNOWN(409),
     /** The admission level of a service deeper in the call chain exceeds the request's rank; the call was not sent. */
     SHED_EARLY(503),
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/AnswerTimes.java
@@ -9,7 +9,8 @@
  */
 final class AnswerTimes {
     /**
-     * Weight of the newest answer: the mean follows the last few tens of answers, one or two seconds of a node's load.
+     * Weight of the newest answer: the mean follows the last few tens of answers, about one or two seconds of a node's
+     * load.
      */
     private static final double SMOOTHING = 0.05;
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -67,7 +67,7 @@
         this.link = newLink;
     }
 
-    /** Stops counting as an awaited answer of the link; {@link #link} still returns the link. */
+    /** Stops counting the attempt as awaited on the link; {@link #link} still returns the link. */
     void unbind() {
         if (link != null && countedOnLink) {
             link.adjustAwaited(-1);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -119,8 +119,8 @@
         }
     }
 
-    private void routeNext(Attempt after) {
-        if (finished || after != current) {
+    private void routeNext(Attempt expected) {
+        if (finished || expected != current) {
             return;
         }
         RouteQuery query = new RouteQuery(
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Returns whether another attempt may turn a failed answer into a successful one. Only the direct caller of the
+     * Returns whether another attempt may turn a failed answer into a successful one. Only the hop that called the
      * failed upstream retries; an answer that reports a failure from deeper in the call chain, already retried there,
      * is final.
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -106,7 +106,7 @@
         probeSentNanos = 0;
         switch (message) {
             case Message.Hello hello -> onHello(hello);
-            case Message.Heartbeat beat -> onHeartbeat(beat);
+            case Message.Heartbeat heartbeat -> onHeartbeat(heartbeat);
             default -> forward(message);
         }
     }
@@ -124,8 +124,8 @@
         peer = hello;
     }
 
-    private void onHeartbeat(Message.Heartbeat beat) {
-        peerClock = beat.senderClock();
+    private void onHeartbeat(Message.Heartbeat heartbeat) {
+        peerClock = heartbeat.senderClock();
         peerClockReceivedNanos = timers.nanos();
         if (!opener) {
             send(new Message.Heartbeat(timers.nanos()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -279,7 +279,7 @@
     record PlanRequest() implements Message {}
 
     /**
-     * Carries the routes in force on a node, in the form in which the operator wrote them.
+     * Carries the routes in force on a node, as the operator wrote them.
      *
      * @param document the document
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallTimes.java
@@ -61,7 +61,7 @@
         return settings.maxTtlNanos() * NON_IDEMPOTENT_EXTRA_TTLS;
     }
 
-    /** Returns whether the grace period after the deadline is over as well. */
+    /** Returns whether the grace period after the deadline is over. */
     boolean graceExpired() {
         return now() - deadlineNanos >= graceAfterDeadline();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -43,7 +43,7 @@
     private boolean deadlinePassed;
     private Refusal lastRefusal;
     private Subscription timer;
-    private IdleTimeout idle;
+    private StallTimeout stallTimeout;
 
     IncomingCall(CallServer server, LocalUpstream local, Message.Call call, Link link) {
         this.server = server;
@@ -193,9 +193,9 @@
             status = newStatus;
             headNanos = times.now();
             timer.cancel();
-            idle = IdleTimeout.start(
-                    server.parts().timers(), server.settings().stallNanos(), serial, answer::wantsMore, this::onIdle);
-            timer = idle;
+            stallTimeout = StallTimeout.start(
+                    server.parts().timers(), server.settings().stallNanos(), serial, answer::wantsMore, this::onStall);
+            timer = stallTimeout;
             Message.Head head = new Message.Head(call.id(), newStatus, headers, context.hasFailedChild(), report());
             answer.head(head, link);
             requestMore();
@@ -205,7 +205,7 @@
     @Override
     public void data(byte[] bytes) {
         ifHandedOver(() -> {
-            idle.progressed();
+            stallTimeout.progressed();
             answer.data(bytes, link);
             requestMore();
         });
@@ -318,7 +318,7 @@
         }
     }
 
-    private void onIdle() {
+    private void onStall() {
         exchange.cancel();
         fail(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN), ConcurrencyLimit.Outcome.IGNORED);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/QuarantineCheck.java
@@ -34,8 +34,8 @@
             return true;
         }
         return switch (server.parts().quarantine().statusAtUpstream(call.content())) {
-            case QuarantineStatus.Unrestricted free -> false;
-            case QuarantineStatus.SoleSuspect alone -> {
+            case QuarantineStatus.Unrestricted unrestricted -> false;
+            case QuarantineStatus.SoleSuspect sole -> {
                 suspected = true;
                 yield !server.suspectQueue().tryStart(suspect);
             }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/ServeSettings.java
@@ -6,7 +6,7 @@
  * @param maxTtlNanos the maximum time to live of a call, in nanoseconds
  * @param fenceGraceNanos the grace period by which the clock reading of a call may exceed the call's time to live in
  *     age, in nanoseconds
- * @param stallNanos the timeout of an upstream that sends nothing in the middle of an answer, in nanoseconds
+ * @param stallNanos the timeout of an answer that makes no progress, in nanoseconds
  * @param initialCreditBytes the flow-control credit of an answer before the caller grants more, in bytes
  * @param maxStoredBytes the maximum size of an answer that is stored to be sent again, in bytes
  * @param retryAfterMillis the minimum Retry-After delay of a refused caller, in milliseconds
@@ -21,7 +21,7 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_TTL_SECONDS = 30;
     private static final long DEFAULT_GRACE_SECONDS = 8;
-    private static final long DEFAULT_IDLE_SECONDS = 10;
+    private static final long DEFAULT_STALL_SECONDS = 10;
     private static final int DEFAULT_INITIAL_CREDIT_BYTES = 256 * 1024;
     private static final int DEFAULT_MAX_STORED_BYTES = 64 * 1024;
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
@@ -35,7 +35,7 @@
         return new ServeSettings(
                 DEFAULT_TTL_SECONDS * SECOND,
                 DEFAULT_GRACE_SECONDS * SECOND,
-                DEFAULT_IDLE_SECONDS * SECOND,
+                DEFAULT_STALL_SECONDS * SECOND,
                 DEFAULT_INITIAL_CREDIT_BYTES,
                 DEFAULT_MAX_STORED_BYTES,
                 DEFAULT_RETRY_AFTER_MILLIS);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/StallTimeout.java
@@ -10,7 +10,7 @@
  * Detects an answer that has begun but makes no progress although more data was requested. Runs inside the serial
  * executor of its call.
  */
-final class IdleTimeout implements Subscription {
+final class StallTimeout implements Subscription {
     private final TimerService timers;
     private final long timeoutNanos;
     private final SerialExecutor serial;
@@ -20,7 +20,7 @@
     private Subscription timer;
     private boolean stopped;
 
-    private IdleTimeout(
+    private StallTimeout(
             TimerService timers,
             long timeoutNanos,
             SerialExecutor serial,
@@ -35,13 +35,13 @@
     }
 
     /** Starts the timeout; {@code onExpired} is run at most once, in the serial executor. */
-    static IdleTimeout start(
+    static StallTimeout start(
             TimerService timers,
             long timeoutNanos,
             SerialExecutor serial,
             BooleanSupplier expectingMore,
             Runnable onExpired) {
-        IdleTimeout timeout = new IdleTimeout(timers, timeoutNanos, serial, expectingMore, onExpired);
+        StallTimeout timeout = new StallTimeout(timers, timeoutNanos, serial, expectingMore, onExpired);
         timeout.arm(timeoutNanos);
         return timeout;
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/call/RecordingSink.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Records what a caller receives: {@code head 200}, {@code data hello}, {@code end}, {@code aborted}, or {@code
- * refused} with run state, reason and Retry-After delay.
+ * Records the events that a caller receives, such as {@code head 200}, {@code data hello}, {@code end} and {@code
+ * aborted}. A refusal is recorded as {@code refused} with run state, reason and Retry-After delay.
  *
  * @param events the list to record to
  */
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -192,7 +192,8 @@
     }
 
     /**
-     * The call never reached the upstream, so sending it elsewhere is no retry; another upstream may admit its rank.
+     * The refused call never reached the upstream, so sending the request elsewhere is no retry; another upstream may
+     * admit its rank.
      */
     @Test
     void reroutesACallThatAnAdmissionLevelRefused() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -29,8 +29,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * Guards against a call that was refused as not run but reported as possibly run: its connection is lost while the
- * calling node still decides whether to grant a retry.
+ * Guards against reporting a call as possibly run that was refused as not run. The connection is lost while the calling
+ * node still decides whether to grant a retry.
  */
 final class RefusedThenLostTest {
     private static final long MILLI = 1_000_000L;
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -25,8 +25,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * Guards against a refusal that turns from not run into may have run: a node that knows that an attempt did not run
- * must report so again when its first reply was lost.
+ * Guards against a changed execution status: a node that knows that an attempt did not run must report so again when
+ * its first reply was lost.
  */
 final class RepeatedInquiryTest {
     private static final long MILLI = 1_000_000L;
