--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionLevel.java
@@ -6,9 +6,9 @@
 import org.verbenadyke.kernel.call.Importance;
 
 /**
- * The rank below which calls are refused beside an upstream. Once a window it is set from a histogram of the ranks that
- * arrived, so that what is admitted fits what the upstream finished. It rises at once under overload and falls in
- * growing steps when the overload has passed.
+ * The rank below which calls to an upstream are refused. Once per window the level is set from a histogram of the
+ * arrived ranks, so that the admitted calls match the number that the upstream finished. The level rises at once under
+ * overload and falls in growing steps after the overload has passed.
  */
 public final class AdmissionLevel implements LevelControl {
     /** The length of a window in nanoseconds. */
@@ -17,19 +17,19 @@
     private static final double OVERLOADED_SHARE = 0.95;
     private static final int FIRST_STEP = 16;
     private static final int STEP_GROWTH = 2;
-    private static final int LEAST_ARRIVALS = 4;
-    private static final int RISE_MOST = 256;
+    private static final int MIN_ARRIVALS = 4;
+    private static final int MAX_RISE = 256;
 
     private final AtomicIntegerArray arrivals = new AtomicIntegerArray(Importance.RANKS);
     private final LongAdder finished = new LongAdder();
-    private final LongAdder overload = new LongAdder();
+    private final LongAdder overloads = new LongAdder();
     private volatile int level;
     private int step = FIRST_STEP;
 
     private AdmissionLevel() {}
 
     /**
-     * Creates a level that admits everything.
+     * Creates a level that admits all calls.
      *
      * @return the level
      */
@@ -55,21 +55,21 @@
 
     @Override
     public void overloaded() {
-        overload.increment();
+        overloads.increment();
     }
 
     @Override
     public void endWindow(GateLoad load) {
-        int[] seen = new int[Importance.RANKS];
+        int[] arrived = new int[Importance.RANKS];
         int total = 0;
-        for (int i = 0; i < seen.length; i++) {
-            seen[i] = arrivals.getAndSet(i, 0);
-            total += seen[i];
+        for (int i = 0; i < arrived.length; i++) {
+            arrived[i] = arrivals.getAndSet(i, 0);
+            total += arrived[i];
         }
         long done = finished.sumThenReset();
-        boolean over = overload.sumThenReset() > 0;
-        if (over && total >= LEAST_ARRIVALS) {
-            raise(seen, Math.max(1, (long) (done * OVERLOADED_SHARE)));
+        boolean over = overloads.sumThenReset() > 0;
+        if (over && total >= MIN_ARRIVALS) {
+            raise(arrived, Math.max(1, (long) (done * OVERLOADED_SHARE)));
             return;
         }
         if (!over) {
@@ -77,16 +77,16 @@
         }
     }
 
-    private void raise(int[] seen, long capacity) {
+    private void raise(int[] arrived, long capacity) {
         step = FIRST_STEP;
         long admitted = 0;
         int rank = Importance.RANKS;
-        while (rank > 0 && admitted + seen[rank - 1] <= capacity) {
+        while (rank > 0 && admitted + arrived[rank - 1] <= capacity) {
             rank--;
-            admitted += seen[rank];
+            admitted += arrived[rank];
         }
         if (rank > level) {
-            level = Math.min(rank, level + RISE_MOST);
+            level = Math.min(rank, level + MAX_RISE);
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
@@ -7,46 +7,47 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The calls that wait for a slot, in the order in which they are served. Safe for many threads.
+ * The calls that wait for a slot, in the order in which they are served. Thread-safe.
  */
 public final class AdmissionQueue {
-    /** The more important first, then the one with more work done above it. */
-    private static final Comparator<Entry> WORTH = Comparator.<Entry>comparingInt(
+    /** The more important first, then the deeper in the call chain, for which more work was already done. */
+    private static final Comparator<Entry> BY_IMPORTANCE_AND_DEPTH = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
             .thenComparingInt(e -> -e.call().depth());
 
-    private static final Comparator<Entry> ORDER = WORTH.thenComparingLong(Entry::order);
+    private static final Comparator<Entry> IMPORTANCE_ORDER = BY_IMPORTANCE_AND_DEPTH.thenComparingLong(Entry::arrival);
 
     /**
-     * Which call is given up last. Load pattern: more calls than fit, several of each request, and a request is lost
-     * with any of them. A rank is the same for all calls of a request, at every upstream, so that the same requests
-     * lose their calls everywhere and the others keep all of theirs.
+     * Shedding order; the first call is shed last. Load pattern: more calls than fit, several per request, and a
+     * request fails with any of them. All calls of a request have the same rank at every upstream, so that the same
+     * requests lose their calls everywhere and the other requests keep all of theirs.
      */
-    private static final Comparator<Entry> KEPT_FIRST =
-            WORTH.thenComparingInt(e -> -e.rank()).thenComparingLong(Entry::order);
+    private static final Comparator<Entry> RETENTION_ORDER =
+            BY_IMPORTANCE_AND_DEPTH.thenComparingInt(e -> -e.rank()).thenComparingLong(Entry::arrival);
 
     /**
-     * Within an importance the one due first. Load pattern: more calls than fit, before the entry refuses enough. Calls
-     * that matter most would else wait behind all others and miss their deadlines with them.
+     * The more important first, then the one due first. Load pattern: more calls than fit, before the node where
+     * requests enter refuses enough of them. The most important calls would otherwise wait behind all others and miss
+     * their deadlines too.
      */
-    private static final Comparator<Entry> BY_DUE = Comparator.<Entry>comparingInt(
+    private static final Comparator<Entry> DUE_ORDER = Comparator.<Entry>comparingInt(
                     e -> -e.call().importance().ordinal())
             .thenComparingLong(e -> e.call().dueNanos())
-            .thenComparingLong(Entry::order);
+            .thenComparingLong(Entry::arrival);
 
-    private final ConcurrentSkipListSet<Entry> entries;
-    private final ConcurrentSkipListSet<Entry> byRank = new ConcurrentSkipListSet<>(KEPT_FIRST);
+    private final ConcurrentSkipListSet<Entry> inServiceOrder;
+    private final ConcurrentSkipListSet<Entry> inRetentionOrder = new ConcurrentSkipListSet<>(RETENTION_ORDER);
     private final AtomicInteger size = new AtomicInteger();
-    private final AtomicLong orders = new AtomicLong();
+    private final AtomicLong arrivalNumbers = new AtomicLong();
 
     private AdmissionQueue(QueueOrder order) {
-        this.entries = new ConcurrentSkipListSet<>(order == QueueOrder.DUE ? BY_DUE : ORDER);
+        this.inServiceOrder = new ConcurrentSkipListSet<>(order == QueueOrder.DUE ? DUE_ORDER : IMPORTANCE_ORDER);
     }
 
     /**
      * Creates a queue.
      *
-     * @param order which call is served next; the one given up first is always the least important
+     * @param order which call is served next; the first one to be shed is always the least important
      * @return an empty queue
      */
     public static AdmissionQueue in(QueueOrder order) {
@@ -60,49 +61,49 @@
      * @param nowNanos the time
      */
     public void add(WaitingCall call, long nowNanos) {
-        Entry entry = new Entry(call, call.rank(), orders.getAndIncrement(), nowNanos);
-        byRank.add(entry);
-        entries.add(entry);
+        Entry entry = new Entry(call, call.rank(), arrivalNumbers.getAndIncrement(), nowNanos);
+        inRetentionOrder.add(entry);
+        inServiceOrder.add(entry);
         size.incrementAndGet();
     }
 
     /**
-     * Takes the call to serve next.
+     * Removes and returns the call to serve next.
      *
      * @return the call, if any waits
      */
-    public Optional<Entry> pollFirst() {
-        Entry entry = entries.pollFirst();
+    public Optional<Entry> pollNext() {
+        Entry entry = inServiceOrder.pollFirst();
         if (entry != null) {
-            byRank.remove(entry);
+            inRetentionOrder.remove(entry);
         }
-        return taken(entry);
+        return countRemoved(entry);
     }
 
     /**
-     * Takes the call to give up first.
+     * Removes and returns the call to shed first.
      *
      * @return the call, if any waits
      */
-    public Optional<Entry> pollLast() {
-        for (Entry entry = byRank.pollLast(); entry != null; entry = byRank.pollLast()) {
-            if (entries.remove(entry)) {
-                return taken(entry);
+    public Optional<Entry> pollToShed() {
+        for (Entry entry = inRetentionOrder.pollLast(); entry != null; entry = inRetentionOrder.pollLast()) {
+            if (inServiceOrder.remove(entry)) {
+                return countRemoved(entry);
             }
         }
         return Optional.empty();
     }
 
     /**
-     * Takes a call out before its turn.
+     * Removes a call that is neither served nor shed.
      *
      * @param call the call
-     * @return whether it still waited
+     * @return whether the call still waited
      */
     public boolean remove(WaitingCall call) {
-        for (Entry entry : entries) {
-            if (entry.call() == call && entries.remove(entry)) {
-                byRank.remove(entry);
+        for (Entry entry : inServiceOrder) {
+            if (entry.call() == call && inServiceOrder.remove(entry)) {
+                inRetentionOrder.remove(entry);
                 size.decrementAndGet();
                 return true;
             }
@@ -111,15 +112,15 @@
     }
 
     /**
-     * Returns how many calls wait.
+     * Returns the number of waiting calls.
      *
-     * @return the number, exact when no other thread is at work
+     * @return the number, exact when no other thread changes the queue
      */
     public int size() {
         return size.get();
     }
 
-    private Optional<Entry> taken(Entry entry) {
+    private Optional<Entry> countRemoved(Entry entry) {
         if (entry != null) {
             size.decrementAndGet();
         }
@@ -130,9 +131,9 @@
      * A waiting call.
      *
      * @param call the call
-     * @param rank its rank, worked out once
-     * @param order its place among equals
-     * @param since when it began to wait, in nanoseconds
+     * @param rank the call's rank, computed once
+     * @param arrival the order of arrival, which decides among equals
+     * @param sinceNanos when the call began to wait, in nanoseconds
      */
-    public record Entry(WaitingCall call, int rank, long order, long since) {}
+    public record Entry(WaitingCall call, int rank, long arrival, long sinceNanos) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -12,22 +12,22 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * One attempt of a request. Its state is changed only inside its request's serial runner; the link alone is read from
- * elsewhere.
+ * One attempt of a request. State is changed only inside the serial executor of the request; only the link is read by
+ * other threads.
  */
 final class Attempt {
     private final CallId id;
     private final Dispatch dispatch;
     private final Candidate candidate;
     private final long startNanos;
-    private final List<Message> held = new ArrayList<>();
+    private final List<Message> deferredMessages = new ArrayList<>();
     private volatile Link link;
-    private long sentTo;
-    private long sentClock;
+    private long targetIncarnation;
+    private long targetClock;
     private boolean headSeen;
-    private long received;
+    private long receivedBytes;
     private boolean concluded;
-    private boolean awaited;
+    private boolean countedOnLink;
 
     Attempt(CallId id, Dispatch dispatch, Candidate candidate, long startNanos) {
         this.id = id;
@@ -59,30 +59,33 @@
     void bind(Link newLink) {
         unbind();
         if (link == null) {
-            sentTo = newLink.peerIncarnation();
-            sentClock = newLink.peerClock();
+            targetIncarnation = newLink.peerIncarnation();
+            targetClock = newLink.peerClock();
         }
         newLink.adjustAwaited(1);
-        awaited = true;
+        countedOnLink = true;
         this.link = newLink;
     }
 
-    /** Stops waiting on the link, which stays known. */
+    /** Stops counting the attempt as awaited on the link; {@link #link} still returns the link. */
     void unbind() {
-        if (link != null && awaited) {
+        if (link != null && countedOnLink) {
             link.adjustAwaited(-1);
         }
-        awaited = false;
+        countedOnLink = false;
     }
 
-    /** Returns the incarnation of the process that the attempt was sent to, whoever was asked about it later. */
-    long sentTo() {
-        return sentTo;
+    /**
+     * Returns the incarnation of the process that the attempt was first sent to. Inquiries sent later to another
+     * incarnation don't change the value.
+     */
+    long targetIncarnation() {
+        return targetIncarnation;
     }
 
-    /** Words the question what became of the attempt. */
+    /** Creates the inquiry about the outcome of the attempt. */
     Message.Inquire inquiry() {
-        return new Message.Inquire(id, sentTo, sentClock);
+        return new Message.Inquire(id, targetIncarnation, targetClock);
     }
 
     boolean sent() {
@@ -93,11 +96,11 @@
         return headSeen;
     }
 
-    void sawHead() {
+    void markHeadSeen() {
         headSeen = true;
     }
 
-    /** Notes that the node beside the upstream has said its last word on the attempt. */
+    /** Marks the attempt as concluded: the called node has sent its final message about the attempt. */
     void conclude() {
         concluded = true;
     }
@@ -106,37 +109,37 @@
         return concluded;
     }
 
-    long received() {
-        return received;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    void receive(int bytes) {
-        received += bytes;
+    void addReceivedBytes(int bytes) {
+        receivedBytes += bytes;
     }
 
-    List<Message> held() {
-        return held;
+    List<Message> deferredMessages() {
+        return deferredMessages;
     }
 
-    /** Takes the report of the node beside the upstream. */
-    void learn(Request request, String pathClass, Message.Report report, long nowNanos) {
+    /** Applies the load report of the called node. */
+    void applyReport(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
-        request.observer().leadsTo(request.service());
+        request.observer().serviceReached(request.service());
         if (!report.deeperLevel().service().isEmpty()) {
-            request.observer().leadsTo(report.deeperLevel().service());
+            request.observer().serviceReached(report.deeperLevel().service());
         }
     }
 
-    /** Takes a refusal, which is the last word of the node beside the upstream. */
+    /** Handles a refusal, the final message of the called node about the attempt. */
     void refused(Request request, String pathClass, Message.Refused refused, long nowNanos) {
-        learn(request, pathClass, refused.report(), nowNanos);
+        applyReport(request, pathClass, refused.report(), nowNanos);
         conclude();
         if (refused.refusal().reason() == RefusalReason.UPSTREAM_REFUSED) {
             candidate.shed(nowNanos);
         }
     }
 
-    /** Tells the node beside the upstream that nobody waits any more, unless the attempt is over. */
+    /** Cancels the call at the called node, unless the attempt is over. */
     void cancel() {
         if (sent() && !concluded && !link.closed()) {
             link.send(new Message.Cancel(id));
@@ -144,16 +147,16 @@
     }
 
     /**
-     * Notes that the upstream ended. The node beside it notes the same end and may die with it; whichever is left tells
-     * the others.
+     * Records a crash of the upstream. The node colocated with the upstream records the same crash but may die with it;
+     * whichever node survives reports the crash to the others.
      */
-    void ended(Dispatcher.Parts parts, Request request) {
+    void upstreamCrashed(Dispatcher.Parts parts, Request request) {
         parts.quarantine().recordCrash(request.content(), candidate.upstream().id());
-        failed(parts);
+        upstreamFailed(parts);
     }
 
-    /** Notes that the upstream failed, which may take it out of the choice for a while. */
-    void failed(Dispatcher.Parts parts) {
+    /** Records a failure of the upstream, which may eject the upstream from routing for a while. */
+    void upstreamFailed(Dispatcher.Parts parts) {
         if (candidate.failed(parts.timers().nanos())) {
             parts.counters().count(Event.UPSTREAM_EJECTED);
             parts.decisions().note(new Decision.Ejected(candidate.upstream().id(), dispatch.requestId()));
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -10,18 +10,18 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * Asks over a new connection what became of an attempt that must not run twice. The answer is the kept answer, a
- * refusal that tells whether it ran, or a seal: the attempt never started and never will. A process that can't know, as
- * one that started after the attempt was sent, says that it may have run.
+ * Inquires over a new connection about an attempt that must not run twice. The called node replies with the stored
+ * answer, with a refusal that carries the execution status, or with a seal: the attempt never started and never will. A
+ * process that can't know, such as one that started after the attempt was sent, replies that the attempt may have run.
  */
 final class Inquiry {
-    private static final long PAUSE_NANOS = 50_000_000L;
+    private static final long RECONNECT_PAUSE_NANOS = 50_000_000L;
 
     private final Dispatcher.Parts parts;
     private final Attempt attempt;
     private final SerialExecutor serial;
-    private final BooleanSupplier wanted;
-    private final Consumer<Attempt> lost;
+    private final BooleanSupplier stillWanted;
+    private final Consumer<Attempt> onLinkLoss;
 
     private Inquiry(
             Dispatcher.Parts parts,
@@ -32,12 +32,12 @@
         this.parts = parts;
         this.attempt = attempt;
         this.serial = serial;
-        this.wanted = wanted;
-        this.lost = lost;
+        this.stillWanted = wanted;
+        this.onLinkLoss = lost;
     }
 
-    /** Asks, again and again until a link is had or nobody wants to know any more. */
-    static void ask(
+    /** Sends the inquiry, reconnecting until a link is available or the request no longer needs the result. */
+    static void start(
             Dispatcher.Parts parts,
             Attempt attempt,
             SerialExecutor serial,
@@ -52,11 +52,11 @@
     }
 
     private void send(Optional<Link> link) {
-        if (!wanted.getAsBoolean()) {
+        if (!stillWanted.getAsBoolean()) {
             return;
         }
         if (link.isEmpty()) {
-            parts.timers().after(PAUSE_NANOS, () -> serial.run(this::again));
+            parts.timers().after(RECONNECT_PAUSE_NANOS, () -> serial.run(this::retryConnect));
             return;
         }
         attempt.bind(link.get());
@@ -65,16 +65,16 @@
                         attempt.dispatch().requestId(),
                         attempt.id(),
                         attempt.candidate().upstream().id(),
-                        attempt.sentTo(),
+                        attempt.targetIncarnation(),
                         link.get().peerIncarnation()));
         link.get().send(attempt.inquiry());
         if (link.get().closed()) {
-            lost.accept(attempt);
+            onLinkLoss.accept(attempt);
         }
     }
 
-    private void again() {
-        if (wanted.getAsBoolean()) {
+    private void retryConnect() {
+        if (stillWanted.getAsBoolean()) {
             connect();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -12,27 +12,28 @@
 import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
- * Writes one answer to the node above: in fragments as the caller allows them, or, for a call that may run only once,
- * whole from a kept copy that can be sent again. A kept answer that grows too large is streamed like any other.
+ * Writes one answer to the calling node. The answer of an idempotent call is streamed as flow-control credit allows.
+ * The answer of a non-idempotent call is stored and sent as a whole, so that it can be sent again; once it exceeds the
+ * maximum size, it is streamed like any other.
  */
 final class AnswerWriter {
     private final CallId id;
-    private final int keptMost;
-    private boolean keeping;
+    private final int maxStoredBytes;
+    private boolean storing;
     private boolean complete;
     private long credit;
     private long sent;
     private Message.Head head;
-    private ByteArrayOutputStream kept = new ByteArrayOutputStream(0);
+    private ByteArrayOutputStream stored = new ByteArrayOutputStream(0);
 
-    AnswerWriter(CallId id, ServeSettings settings, boolean keeping) {
+    AnswerWriter(CallId id, ServeSettings settings, boolean storing) {
         this.id = id;
-        this.keptMost = settings.keptBytes();
-        this.credit = settings.windowBytes();
-        this.keeping = keeping;
+        this.maxStoredBytes = settings.maxStoredBytes();
+        this.credit = settings.initialCreditBytes();
+        this.storing = storing;
     }
 
-    /** Adds credit and tells whether sending can go on now that could not before. */
+    /** Adds credit and returns whether that unblocks sending. */
     boolean credit(int bytes) {
         boolean blocked = !wantsMore();
         credit += bytes;
@@ -40,69 +41,69 @@
     }
 
     boolean wantsMore() {
-        return keeping || credit > 0;
+        return storing || credit > 0;
     }
 
     void head(Message.Head newHead, Link link) {
         head = newHead;
-        if (!keeping) {
+        if (!storing) {
             link.send(newHead);
         }
     }
 
     void data(byte[] bytes, Link link) {
-        if (!keeping) {
+        if (!storing) {
             sendData(bytes, link);
             return;
         }
-        kept.writeBytes(bytes);
-        if (kept.size() > keptMost) {
-            keeping = false;
+        stored.writeBytes(bytes);
+        if (stored.size() > maxStoredBytes) {
+            storing = false;
             link.send(head);
-            sendData(kept.toByteArray(), link);
-            kept = new ByteArrayOutputStream(0);
+            sendData(stored.toByteArray(), link);
+            stored = new ByteArrayOutputStream(0);
         }
     }
 
     void end(Link link) {
         complete = true;
-        if (keeping) {
-            sendKept(link);
+        if (storing) {
+            sendStored(link);
         } else {
             link.send(new Message.End(id, sent));
         }
     }
 
-    /** Sends the outcome of another try as this one's answer. */
-    void whole(StoredOutcome.CompleteAnswer whole, Link link, Message.Report report) {
-        head = new Message.Head(id, whole.status(), whole.headers(), true, report);
-        kept.writeBytes(whole.body());
+    /** Sends the stored answer of an earlier attempt as the answer. */
+    void writeWhole(StoredOutcome.CompleteAnswer earlier, Link link, Message.Report report) {
+        head = new Message.Head(id, earlier.status(), earlier.headers(), true, report);
+        stored.writeBytes(earlier.body());
         complete = true;
-        sendKept(link);
+        sendStored(link);
     }
 
-    /** Sends the answer again over another link; false when there is none to send. */
+    /** Sends the stored answer again over another link; returns false when no complete answer is stored. */
     boolean replay(Link link, Supplier<Message.Report> report) {
-        if (!complete || !keeping) {
+        if (!complete || !storing) {
             return false;
         }
         head = new Message.Head(id, head.status(), head.headers(), head.retriesExhausted(), report.get());
-        sendKept(link);
+        sendStored(link);
         return true;
     }
 
-    StoredOutcome kept() {
-        if (!complete || !keeping) {
+    StoredOutcome stored() {
+        if (!complete || !storing) {
             return new StoredOutcome.NoAnswer(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
         }
-        return new StoredOutcome.CompleteAnswer(head.status(), head.headers(), kept.toByteArray());
+        return new StoredOutcome.CompleteAnswer(head.status(), head.headers(), stored.toByteArray());
     }
 
-    private void sendKept(Link link) {
+    private void sendStored(Link link) {
         sent = 0;
         link.send(head);
-        if (kept.size() > 0) {
-            sendData(kept.toByteArray(), link);
+        if (stored.size() > 0) {
+            sendData(stored.toByteArray(), link);
         }
         link.send(new Message.End(id, sent));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -26,13 +26,13 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * Serves the calls of other nodes for the upstream beside this one. Safe for many threads.
+ * Serves the calls of other nodes for the colocated upstream. Thread-safe.
  */
 public final class CallServer {
     private final Parts parts;
     private final ServeSettings settings;
-    private final SeenCalls seen;
-    private final SuspectLane lane = SuspectLane.free();
+    private final SeenCalls seenCalls;
+    private final SuspectQueue suspectQueue = SuspectQueue.empty();
     private final Map<CallId, IncomingCall> calls = new ConcurrentHashMap<>();
     private final Map<String, CallContext> contexts = new ConcurrentHashMap<>();
     private final AtomicLong tokens = new AtomicLong();
@@ -41,14 +41,14 @@
     private CallServer(Parts parts, ServeSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.seen = SeenCalls.startingAt(parts.timers.nanos());
+        this.seenCalls = SeenCalls.startingAt(parts.timers.nanos());
     }
 
     /**
      * Creates a server without an upstream.
      *
-     * @param parts what it works with
-     * @param settings how calls are served
+     * @param parts the collaborators
+     * @param settings the settings for served calls
      * @return the server
      */
     public static CallServer create(Parts parts, ServeSettings settings) {
@@ -64,13 +64,13 @@
         this.upstream = local;
     }
 
-    /** Forgets the upstream: it is gone, and no other has announced itself yet. */
+    /** Detaches the upstream: it is gone, and no other has announced itself yet. */
     public void detach() {
         this.upstream = null;
     }
 
     /**
-     * Returns the upstream beside this node.
+     * Returns the colocated upstream.
      *
      * @return the upstream, if one announced itself
      */
@@ -79,19 +79,19 @@
     }
 
     /**
-     * Finds what a token stands for.
+     * Returns the context that a token identifies.
      *
      * @param token the token that an upstream copied to its call
-     * @return the context, empty when the call it names has ended
+     * @return the context, empty when its call has ended
      */
     public Optional<CallContext> context(String token) {
         return Optional.ofNullable(contexts.get(token));
     }
 
     /**
-     * Takes a message of a node above.
+     * Handles a message of a calling node.
      *
-     * @param link the link it came by
+     * @param link the link on which the message arrived
      * @param message a call, credit, cancellation, grant or inquiry
      */
     public void received(Link link, Message message) {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Takes notice that a link has ended.
+     * Called when a link has closed.
      *
      * @param link the link
      */
@@ -119,28 +119,29 @@
     }
 
     /**
-     * Returns the calls that are not finished.
+     * Returns the number of unfinished calls.
      *
-     * @return their number
+     * @return the number
      */
     public long unfinished() {
         return calls.values().stream().filter(c -> !c.finished()).count();
     }
 
     /**
-     * Forgets what is past its time; called at least every fence period, by one thread at a time.
+     * Evicts expired state. Called by one thread at a time, at intervals of {@link #sweepNanos}.
      */
     public void sweep() {
-        seen.rotate(parts.timers::nanos);
+        seenCalls.rotate(parts.timers::nanos);
         long now = parts.timers.nanos();
-        calls.values().removeIf(c -> c.forgettable(now));
+        calls.values().removeIf(c -> c.evictable(now));
         upstream().ifPresent(u -> u.keys().expire(now));
     }
 
     /**
-     * Returns the least period between two sweeps, so that no id is forgotten before its copies are fenced.
+     * Returns the minimum interval between two sweeps. A shorter one could evict an id while a delayed copy of its call
+     * still passes the freshness check.
      *
-     * @return the period in nanoseconds
+     * @return the interval in nanoseconds
      */
     public long sweepNanos() {
         return settings.maxTtlNanos() + settings.fenceGraceNanos();
@@ -195,11 +196,12 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.DeeperLevel below = context.map(c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
+        Message.DeeperLevel deeperLevel = context.map(
+                        c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
                 .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
-            return new Message.Report(0, 0, 0, 0, false, below);
+            return new Message.Report(0, 0, 0, 0, false, deeperLevel);
         }
         Gate gate = local.gate();
         return new Message.Report(
@@ -208,7 +210,7 @@
                 gate.level(),
                 gate.directLevel(),
                 local.draining(),
-                below);
+                deeperLevel);
     }
 
     UpstreamPort.HandOver handOver(Message.Call call, CallContext context, long remainingNanos) {
@@ -216,19 +218,19 @@
                 call.content(), context.token(), call.request(), call.importance(), remainingNanos);
     }
 
-    void noteHandOver(Message.Call call, LocalUpstream local, long receivedNanos) {
+    void recordHandOver(Message.Call call, LocalUpstream local, long receivedNanos) {
         parts.counters.count(Event.HANDED_OVER);
         parts.ledger.handedOver(call.id(), call.key(), call.idempotent());
-        if (local.drainedBefore(receivedNanos)) {
+        if (local.drainingBefore(receivedNanos)) {
             parts.ledger.handedWhileDraining(call.id());
         }
     }
 
     /**
-     * Notes what an upstream had when it ended, and returns what to call that. One that was leaving ends as planned,
-     * with whatever it still has; that says nothing of its calls.
+     * Records that an upstream crashed with a call in flight, and returns the reason for the refusal. A draining
+     * upstream ends as planned, with calls possibly still in flight; its end says nothing about those calls.
      */
-    RefusalReason noteEnded(Message.Call call, LocalUpstream local) {
+    RefusalReason recordCrash(Message.Call call, LocalUpstream local) {
         if (local.draining()) {
             return RefusalReason.UPSTREAM_BROKEN;
         }
@@ -239,9 +241,9 @@
         return RefusalReason.UPSTREAM_ENDED;
     }
 
-    /** Returns where calls run one at a time under which upstreams have ended. */
-    SuspectLane lane() {
-        return lane;
+    /** Returns the queue in which calls that may have crashed upstreams run one at a time. */
+    SuspectQueue suspectQueue() {
+        return suspectQueue;
     }
 
     private Optional<IncomingCall> find(CallId id) {
@@ -254,21 +256,21 @@
 
     private void call(Link link, Message.Call call) {
         parts.counters.count(Event.CALL_IN);
-        if (!seen.claim(call.id())) {
+        if (!seenCalls.claim(call.id())) {
             parts.counters.count(Event.CALL_REPEATED);
             return;
         }
         LocalUpstream local = upstream;
         if (local == null || !local.id().equals(call.target().upstream())) {
-            turnAway(link, call, RefusalReason.UPSTREAM_UNREACHABLE);
+            refuseUntracked(link, call, RefusalReason.UPSTREAM_UNREACHABLE);
             return;
         }
         if (local.draining()) {
-            turnAway(link, call, RefusalReason.DRAINING);
+            refuseUntracked(link, call, RefusalReason.DRAINING);
             return;
         }
-        if (Freshness.stale(call, parts.timers.nanos(), settings.fenceGraceNanos())) {
-            turnAway(link, call, RefusalReason.FENCED);
+        if (Freshness.isStale(call, parts.timers.nanos(), settings.fenceGraceNanos())) {
+            refuseUntracked(link, call, RefusalReason.FENCED);
             return;
         }
         IncomingCall incoming = new IncomingCall(this, local, call, link);
@@ -276,9 +278,9 @@
         incoming.start();
     }
 
-    /** Refuses a call of which nothing but its fate is kept. */
-    private void turnAway(Link link, Message.Call call, RefusalReason reason) {
-        seen.markNeverRuns(call.id());
+    /** Refuses a call and retains only that it never ran. */
+    private void refuseUntracked(Link link, Message.Call call, RefusalReason reason) {
+        seenCalls.markNeverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
     }
 
@@ -289,45 +291,46 @@
             call.rebind(link);
             return;
         }
-        Refusal fate =
-                neverRuns(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
-        parts.decisions.note(new Decision.StatusReported(id, fate.state(), fate.reason(), parts.incarnation));
-        refuse(link, id, fate, report(Optional.empty()));
+        Refusal refusal = sealIfNeverRun(inquiry)
+                ? notRun(RefusalReason.SEALED)
+                : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
+        parts.decisions.note(new Decision.StatusReported(id, refusal.state(), refusal.reason(), parts.incarnation));
+        refuse(link, id, refusal, report(Optional.empty()));
     }
 
     /**
-     * Tells whether an attempt was turned away or never arrived, and sees to it that it never runs. An unknown id
-     * proves that it never arrived only to the process that the attempt was sent to, and only while that process keeps
-     * ids of that age. A process that had started anew would seal what the one before it ran, and so give it a second
-     * run.
+     * Returns whether an attempt was refused or never arrived, and ensures that it never runs. An unknown id proves
+     * that the attempt never arrived only in the process that the attempt was sent to, and only while that process
+     * retains ids of that age. A restarted process would otherwise seal an attempt that the previous process ran, and
+     * so cause a second run.
      */
-    private boolean neverRuns(Message.Inquire inquiry) {
+    private boolean sealIfNeverRun(Message.Inquire inquiry) {
         CallId id = inquiry.id();
         if (inquiry.targetIncarnation() != parts.incarnation) {
             return false;
         }
-        if (seen.isNeverRun(id)) {
+        if (seenCalls.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seen.claim(id) && seen.coversSince(inquiry.targetClock());
+        boolean neverArrived = seenCalls.claim(id) && seenCalls.coversSince(inquiry.targetClock());
         if (neverArrived) {
-            seen.markNeverRuns(id);
+            seenCalls.markNeverRuns(id);
         }
         return neverArrived;
     }
 
     /**
-     * What a server works with.
+     * The collaborators of a call server.
      *
-     * @param incarnation drawn anew at each start of the process
-     * @param timers the time
-     * @param random where each thread's randomness comes from
-     * @param counters where refusals are counted
-     * @param ledger checks the promises
-     * @param levels what is known of the levels of the services below
-     * @param keys decides and asks about the owners of keys
-     * @param decisions takes what is to be explained later
-     * @param quarantine holds requests back under which upstreams end
+     * @param incarnation identifies this start of the process; drawn at random at each start
+     * @param timers the clock and timers
+     * @param random supplies the random generator of the current thread
+     * @param counters counts refusals
+     * @param ledger checks the guarantees, such as at most one run
+     * @param levels the known admission levels of the services deeper in the call chain
+     * @param keys claims keys, after querying their former owners
+     * @param decisions records decisions for later explanation
+     * @param quarantine quarantines requests that crash upstreams
      */
     public record Parts(
             long incarnation,
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
@@ -10,8 +10,8 @@
 import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
- * Settles a key after its try was handed over: the key is free again only when the upstream provably did not run the
- * try, or said so by answering that it is unavailable.
+ * Settles a key after its attempt was handed over. The key becomes free again only when the upstream provably did not
+ * run the attempt, or reported so by answering that it is unavailable.
  */
 final class KeySettlement {
     private static final int UNAVAILABLE = 503;
@@ -22,7 +22,7 @@
             KeyTable keys, Ledger ledger, String key, Optional<Refusal> refusal, StoredOutcome answer, long now) {
         boolean notRun = refusal.map(r -> r.state() == RunState.NOT_RUN)
                 .orElseGet(() -> answer.completeAnswer()
-                        .filter(w -> w.status() == UNAVAILABLE)
+                        .filter(a -> a.status() == UNAVAILABLE)
                         .isPresent());
         if (notRun) {
             ledger.keyFreed(key);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedAttempt.java
@@ -8,16 +8,17 @@
 import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
- * Claims the idempotency key of a call before it may wait for a slot, or gives it the outcome of an earlier try.
+ * Claims the idempotency key of a call before the call may wait for a slot, or completes the call with the outcome of
+ * an earlier attempt.
  */
-final class KeyedTry {
+final class KeyedAttempt {
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
     private final SerialExecutor serial;
     private final Host host;
 
-    private KeyedTry(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
+    private KeyedAttempt(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         this.server = server;
         this.local = local;
         this.call = call;
@@ -26,11 +27,13 @@
     }
 
     static void begin(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
-        KeyedTry keyed = new KeyedTry(server, local, call, serial, host);
-        server.parts().keys().claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> keyed.claimed(c)));
+        KeyedAttempt attempt = new KeyedAttempt(server, local, call, serial, host);
+        server.parts()
+                .keys()
+                .claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> attempt.onClaimed(c)));
     }
 
-    private void claimed(KeyClaims.Outcome outcome) {
+    private void onClaimed(KeyClaims.Outcome outcome) {
         if (!host.waiting()) {
             if (outcome instanceof KeyClaims.Outcome.Owned(KeyTable.Claim.Granted g)) {
                 local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(server.notRun(RefusalReason.CANCELLED)));
@@ -38,44 +41,44 @@
             return;
         }
         switch (outcome) {
-            case KeyClaims.Outcome.Owned owned -> decided(owned.claim());
+            case KeyClaims.Outcome.Owned owned -> onDecided(owned.claim());
             case KeyClaims.Outcome.OwnedElsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
             case KeyClaims.Outcome.Uncertain u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
         }
     }
 
-    private void decided(KeyTable.Claim claim) {
+    private void onDecided(KeyTable.Claim claim) {
         switch (claim) {
-            case KeyTable.Claim.Granted g -> host.ownsKey();
-            case KeyTable.Claim.Taken t -> t.outcome().accept(kept -> serial.run(() -> outcome(kept)));
+            case KeyTable.Claim.Granted g -> host.keyGranted();
+            case KeyTable.Claim.Taken t -> t.outcome().accept(stored -> serial.run(() -> onEarlierOutcome(stored)));
             case KeyTable.Claim.Reused r -> host.refuseKeyed(server.notRun(RefusalReason.KEY_REUSED));
             case KeyTable.Claim.Sealed s -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
         }
     }
 
-    /** Gives the outcome of the earlier try. */
-    private void outcome(StoredOutcome kept) {
+    /** Completes the call with the outcome of the earlier attempt. */
+    private void onEarlierOutcome(StoredOutcome stored) {
         if (!host.waiting()) {
             return;
         }
-        switch (kept) {
-            case StoredOutcome.CompleteAnswer whole -> host.adopt(whole);
-            case StoredOutcome.NoAnswer lost -> host.refuseKeyed(lost.refusal());
+        switch (stored) {
+            case StoredOutcome.CompleteAnswer answer -> host.replayAnswer(answer);
+            case StoredOutcome.NoAnswer none -> host.refuseKeyed(none.refusal());
         }
     }
 
     /**
-     * The call that tries; asked inside its serial runner.
+     * The call that uses the key; invoked inside its serial executor.
      */
     interface Host {
-        /** Tells whether the call still waits. */
+        /** Returns whether the call still waits. */
         boolean waiting();
 
-        /** Goes on to wait for a slot: the key is this call's. */
-        void ownsKey();
+        /** Called when the call has been granted the key and may wait for a slot. */
+        void keyGranted();
 
-        /** Answers with the answer of an earlier try. */
-        void adopt(StoredOutcome.CompleteAnswer whole);
+        /** Answers with the stored answer of an earlier attempt. */
+        void replayAnswer(StoredOutcome.CompleteAnswer earlier);
 
         /** Refuses the call. */
         void refuseKeyed(Refusal refusal);
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -51,7 +51,7 @@
                     9,
                     clock,
                     router,
-                    (endpoint, taker) -> taker.accept(Optional.of(link)),
+                    (endpoint, callback) -> callback.accept(Optional.of(link)),
                     () -> random,
                     counters,
                     Ledger.reportingTo(b -> got.add("breach " + b)),
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void passesASettledFailureUp() {
+    void passesOnAFailureWhoseRetriesAreExhausted() {
         send(true, 5);
         CallId id = calls().getFirst().id();
         dispatcher.received(link, new Message.Head(id, 502, List.of(), true, CALM));
@@ -126,14 +126,14 @@
     }
 
     @Test
-    void neverRetriesWhatMayRunOnlyOnce() {
+    void neverRetriesANonIdempotentCall() {
         send(false, 5);
         answer(0, 500, "");
         assertEquals(1, calls().size());
     }
 
     @Test
-    void sendsElsewhereWhatALeavingUpstreamRefused() {
+    void reroutesACallThatADrainingUpstreamRefused() {
         send(false, 0);
         refuse(0, RunState.NOT_RUN, RefusalReason.DRAINING);
         assertEquals(2, calls().size());
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void asksOverANewConnectionWhatBecameOfAFiling() {
+    void inquiresOverANewConnectionAboutANonIdempotentCall() {
         send(false, 2);
         RecordingLink silent = link;
         renewLink();
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void givesTheFinalAnswerAtTheDeadlineAndSaysWhenToComeBack() {
+    void refusesAtTheDeadlineWithARetryAfter() {
         send(true, 2);
         clock.advance(1_000 * MILLI - 1);
         assertEquals(List.of(), got);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void givesUpAtOnceWhenThePathBelowShedsThisRank() {
+    void refusesAtOnceWhenTheCalledPathShedsTheRank() {
         send(true, 2);
         Message.Report full =
                 new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.DeeperLevel.NONE);
@@ -191,9 +191,12 @@
         assertTrue(got.get(1).startsWith("refused NOT_RUN SHED_EARLY"), got.toString());
     }
 
-    /** It never came to the upstream, so that it is no retry; another one may have room for its rank. */
+    /**
+     * The refused call never reached the upstream, so sending the request elsewhere is no retry; another upstream may
+     * admit its rank.
+     */
     @Test
-    void goesToAnotherUpstreamWhenTheLevelOfOneRefusesIt() {
+    void reroutesACallThatAnAdmissionLevelRefused() {
         send(false, 0);
         String first = calls().getFirst().target().upstream();
         Message.Report full =
--- a/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void findsASilentLinkWithinASecondWhileSomebodyWaits() {
+    void closesASilentLinkWithinASecondWhileAnAnswerIsAwaited() {
         Link link = ready();
         clock.advance(2_000 * MILLI);
         answering = false;
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void renewsTheLentClockOnABusyLink() {
+    void refreshesThePeerClockOnABusyLink() {
         Link link = ready();
         link.adjustAwaited(1);
         for (int i = 0; i < 100; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aPauseOfThisProcessProvesNothing() {
+    void keepsTheLinkAfterAPauseOfThisProcess() {
         Link link = ready();
         link.adjustAwaited(1);
         clock.advance(500 * MILLI);
@@ -108,7 +108,7 @@
         handler.received(new Message.Heartbeat(7));
     }
 
-    /** Answers heartbeats as a peer does. */
+    /** Replies to heartbeats like a peer. */
     private final class FakeChannel implements Channel {
         private final Transport.Handler handler;
 
@@ -130,11 +130,11 @@
         }
     }
 
-    /** Notes lost links. */
+    /** Records lost links. */
     private final class Listener implements LinkPool.Listener {
         @Override
         public void received(Link link, Message message) {
-            // Not looked at here.
+            // Messages are not checked by these tests.
         }
 
         @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aLeavingUpstreamGetsNothing() {
+    void aDrainingUpstreamGetsNoCalls() {
         local.drain(true);
         server.received(link, call(true, ""));
         assertEquals(0, handed.size());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void refusesACallThatWaitedUnseenForTooLong() {
+    void refusesACallThatWasDelayedPastItsTimeToLive() {
         Message.Call call = call(false, "");
         clock.advance(30_000 * MILLI);
         server.received(link, call);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void looksAtTheClockAgainRightBeforeTheHandOver() {
+    void checksTheClockAgainRightBeforeTheHandOver() {
         server.received(link, call(true, ""));
         server.received(link, call(false, ""));
         clock.jump(30_000 * MILLI);
@@ -123,26 +123,26 @@
     }
 
     @Test
-    void givesTheKeptAnswerOverANewConnection() {
-        Message.Call filing = call(false, "");
-        server.received(link, filing);
+    void repeatsTheStoredAnswerOverANewConnection() {
+        Message.Call call = call(false, "");
+        server.received(link, call);
         server.linkLost(link);
         answer(0, 201, "filed");
         RecordingLink fresh = new RecordingLink();
-        server.received(fresh, new Message.Inquire(filing.id(), 1, filing.receiverClock()));
+        server.received(fresh, new Message.Inquire(call.id(), 1, call.receiverClock()));
         assertEquals(201, ((Message.Head) fresh.sent().get(0)).status());
         assertEquals(1, handed.size());
     }
 
     @Test
-    void aRetryIsAskedForAgainOverANewConnection() {
-        Message.Call filing = call(false, "");
-        server.received(link, filing);
+    void aPendingRetryRequestIsRepeatedOverANewConnection() {
+        Message.Call call = call(false, "");
+        server.received(link, call);
         server.context(token).orElseThrow().budget().spend(granted -> {});
         server.linkLost(link);
         RecordingLink fresh = new RecordingLink();
-        server.received(fresh, new Message.Inquire(filing.id(), 1, filing.receiverClock()));
-        assertEquals(List.of(new Message.Spend(filing.id(), 1)), fresh.sent());
+        server.received(fresh, new Message.Inquire(call.id(), 1, call.receiverClock()));
+        assertEquals(List.of(new Message.Spend(call.id(), 1)), fresh.sent());
     }
 
     @Test
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void saysMayHaveRunWhenTheUpstreamBreaksOff() {
+    void reportsMayHaveRunWhenTheUpstreamBreaksTheConnection() {
         server.received(link, call(false, "k"));
         handed.getFirst().broken();
         assertEquals(RunState.MAY_HAVE_RUN, lastRefusal().refusal().state());
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void saysNotRunWhenTheUpstreamCannotBeReached() {
+    void reportsNotRunWhenTheUpstreamCannotBeReached() {
         server.received(link, call(false, "k"));
         handed.getFirst().unreachable();
         assertEquals(RunState.NOT_RUN, lastRefusal().refusal().state());
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void letsAFilingRunToItsEndWhenItsCallerLeaves() {
+    void completesANonIdempotentCallWhoseCallerLeaves() {
         Message.Call call = call(false, "k");
         server.received(link, call);
         server.received(link, new Message.Cancel(call.id()));
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void anUpstreamThatNeverAnswersDoesNotKeepItsSlot() {
+    void freesTheSlotOfACallThatIsNeverAnswered() {
         server.received(link, call(true, ""));
         clock.advance(1_000 * MILLI);
         assertEquals(0, local.gate().inFlight());
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aCallBelowFindsItsContextUntilTheCallEnds() {
+    void aNestedCallFindsItsContextUntilTheServedCallEnds() {
         server.received(link, call(true, ""));
         assertTrue(server.context(token).isPresent());
         answer(0, 200, "");
@@ -214,7 +214,7 @@
         return new UpstreamPort.Exchange() {
             @Override
             public void request() {
-                // The test answers when it wants.
+                // Each test sends the answer itself.
             }
 
             @Override
