--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -34,8 +34,8 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * The request path of one node: takes requests, sends them to upstreams through the nodes beside them, and serves the
- * calls of other nodes. Has no input or output and no threads of its own.
+ * The request path of one node: accepts requests, sends each to an upstream through the node colocated with it, and
+ * serves the calls of other nodes. Does no I/O and starts no threads.
  */
 public final class Engine {
     private final EngineParts parts;
@@ -86,15 +86,15 @@
                         parts.decisions(),
                         parts.quarantine()),
                 policy.serve());
-        this.keyedBudgets = KeyedBudgets.keeping(policy.keyRetentionNanos());
+        this.keyedBudgets = KeyedBudgets.withRetention(policy.keyRetentionNanos());
         this.keys = KeyTable.keeping(policy.keyRetentionNanos());
     }
 
     /**
-     * Creates an engine and subscribes it to the timers.
+     * Creates an engine and schedules its periodic tasks.
      *
-     * @param parts what it works with
-     * @param policy how it decides
+     * @param parts the collaborators
+     * @param policy the settings of its decisions
      * @return the engine
      */
     public static Engine create(EngineParts parts, Policy policy) {
@@ -105,20 +105,20 @@
     }
 
     /**
-     * Takes a connection that another node opened.
+     * Accepts a connection that another node opened.
      *
-     * @return takes the connection's events
+     * @return the handler of the connection's events
      */
     public Transport.Handler accept() {
         return links.accept();
     }
 
     /**
-     * Takes a request of a caller from outside.
+     * Dispatches a request of an external caller.
      *
      * @param inbound the request
-     * @param sink takes its answer
-     * @return the handle to steer it by
+     * @param sink receives its answer
+     * @return the handle to control the request
      */
     public CallHandle enter(Inbound inbound, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
@@ -144,12 +144,12 @@
     }
 
     /**
-     * Takes a request whose route was found in the plan in force. Its retries are bounded by the route's attempts, and
-     * those of the calls below by what is left of them.
+     * Dispatches a request whose route was found in the plan in force. Its retries are bounded by the route's attempts;
+     * the calls made to serve it share the retries that are left.
      *
      * @param routed the request
-     * @param sink takes its answer
-     * @return the handle to steer it by
+     * @param sink receives its answer
+     * @return the handle to control the request
      */
     public CallHandle enter(RoutedRequest routed, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
@@ -178,12 +178,12 @@
     }
 
     /**
-     * Takes a call that the upstream beside this node makes while it serves another.
+     * Dispatches a call that the upstream colocated with this node makes while it serves another.
      *
-     * @param token what names the call it serves
-     * @param inbound the call
-     * @param sink takes its answer
-     * @return the handle to steer it by, empty when the call was refused at once
+     * @param token the context token of the call being served
+     * @param inbound the nested call
+     * @param sink receives its answer
+     * @return the handle to control the call, empty when it was refused immediately
      */
     public Optional<CallHandle> callFrom(String token, Inbound inbound, AnswerSink sink) {
         Optional<CallContext> context = server.context(token);
@@ -214,12 +214,12 @@
     }
 
     /**
-     * Attaches the upstream that announced itself beside this node. The keys that ran here stay known, also while
-     * there is no upstream.
+     * Attaches the upstream that registered with this node. The idempotency keys that ran here are retained, even
+     * while no upstream is attached.
      *
      * @param id its id
      * @param service the service it serves
-     * @param port the way to it
+     * @param port the connection to it
      * @return the upstream
      */
     public LocalUpstream attach(String id, String service, UpstreamPort port) {
@@ -227,12 +227,12 @@
     }
 
     /**
-     * Attaches the upstream that announced itself beside this node, with a limit of its own.
+     * Attaches the upstream that registered with this node, with its own concurrency limit.
      *
      * @param id its id
      * @param service the service it serves
-     * @param port the way to it
-     * @param limit how many calls it may have at once
+     * @param port the connection to it
+     * @param limit how many calls it may have in flight
      * @return the upstream
      */
     public LocalUpstream attach(String id, String service, UpstreamPort port, ConcurrencyLimit limit) {
@@ -245,7 +245,7 @@
     /**
      * Puts a configuration in force.
      *
-     * @param next the configuration; an older version than the one in force is ignored
+     * @param next the configuration; ignored unless its version is higher than the one in force
      */
     public void configure(Configuration next) {
         Configuration before = configuration.getAndUpdate(c -> next.version() > c.version() ? next : c);
@@ -267,32 +267,32 @@
     /**
      * Returns the router.
      *
-     * @return the router, to be told of upstreams
+     * @return the router, which must be updated when the known upstreams change
      */
     public Router router() {
         return router;
     }
 
     /**
-     * Returns the links.
+     * Returns the links to other nodes.
      *
-     * @return the links to other nodes
+     * @return the link pool
      */
     public LinkPool links() {
         return links;
     }
 
     /**
-     * Returns the serving side.
+     * Returns the part that serves calls of other nodes.
      *
-     * @return the server
+     * @return the call server
      */
     public CallServer server() {
         return server;
     }
 
     /**
-     * Returns the sending side.
+     * Returns the part that sends calls to other nodes.
      *
      * @return the dispatcher
      */
@@ -301,8 +301,8 @@
     }
 
     private long ttl(Inbound inbound) {
-        long most = policy.serve().maxTtlNanos();
-        return Math.min(most, inbound.ttlNanos().orElse(policy.defaultTtlNanos()));
+        long maxTtl = policy.serve().maxTtlNanos();
+        return Math.min(maxTtl, inbound.ttlNanos().orElse(policy.defaultTtlNanos()));
     }
 
     private RetryBudget rootBudget(Inbound inbound, RequestId id, Configuration config) {
@@ -315,7 +315,7 @@
                     config.retries(),
                     parts.timers().nanos());
         }
-        parts.ledger().minted(id, config.retries());
+        parts.ledger().budgetCreated(id, config.retries());
         return RootBudget.of(config.retries());
     }
 
@@ -330,7 +330,7 @@
     }
 
     /**
-     * Sorts what comes over the links.
+     * Routes messages that arrive over the links to the component that handles them.
      */
     private final class Incoming implements LinkPool.Listener {
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/EngineParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/EngineParts.java
@@ -16,22 +16,22 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * What an engine works with.
+ * The collaborators of an engine.
  *
  * @param nodeId the node's name
- * @param incarnation drawn anew at each start of the process
- * @param place where the node stands
- * @param timers the time
+ * @param incarnation a number drawn at each start of the process
+ * @param place the location of the node
+ * @param timers the clock and timers
  * @param transport opens connections to other nodes
- * @param random where each thread's randomness comes from
+ * @param random supplies each thread's random generator
  * @param counters the node's counters
- * @param ledger checks the promises
- * @param decisions takes what is to be explained later
- * @param quarantine holds requests back under which upstreams end
- * @param keyClaims decides about idempotency keys
- * @param keyMessages takes messages about keys from other nodes
- * @param planMessages takes messages about routes
- * @param quotaMessages takes messages about teams' permits
+ * @param ledger checks the invariants
+ * @param decisions records decisions for operators
+ * @param quarantine quarantines requests that crash upstreams
+ * @param keyClaims grants or denies claims of idempotency keys
+ * @param keyMessages handles messages about keys from other nodes
+ * @param planMessages handles messages about route plans
+ * @param quotaMessages handles messages about teams' permits
  */
 public record EngineParts(
         String nodeId,
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Inbound.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Inbound.java
@@ -5,16 +5,16 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * A request as it comes in over HTTP.
+ * A request as received over HTTP.
  *
  * @param service the service it calls
- * @param content what the upstream gets
+ * @param content what is sent to the upstream
  * @param key the idempotency key, empty if none
- * @param ttlNanos how long its caller waits, in nanoseconds, if it said
+ * @param ttlNanos the caller's timeout in nanoseconds, if the request states one
  */
 public record Inbound(String service, Message.Content content, String key, Optional<Long> ttlNanos) {
     /**
-     * Tells whether the request may run more than once, by its method.
+     * Returns whether the method allows the request to run more than once.
      *
      * @return whether it is idempotent
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
@@ -6,8 +6,8 @@
 import org.verbenadyke.kernel.budget.RootBudget;
 
 /**
- * The budgets of requests that carry an idempotency key, so that a caller's own resend draws on what the first try
- * left.
+ * Retry budgets of requests with an idempotency key. A resend by the caller shares the budget of the first try
+ * instead of getting a new one.
  */
 final class KeyedBudgets {
     private final Map<String, Entry> entries = new ConcurrentHashMap<>();
@@ -17,11 +17,11 @@
         this.retentionNanos = retentionNanos;
     }
 
-    static KeyedBudgets keeping(long retentionNanos) {
+    static KeyedBudgets withRetention(long retentionNanos) {
         return new KeyedBudgets(retentionNanos);
     }
 
-    /** Returns the budget of a key; each call after the first takes one retry out of it for the resend itself. */
+    /** Returns the budget of a key; each call after the first takes one retry from it to pay for the resend. */
     RootBudget of(String key, int retries, long now) {
         Entry fresh = new Entry(RootBudget.of(retries), now);
         Entry seen = entries.putIfAbsent(key, fresh);
@@ -33,14 +33,14 @@
     }
 
     void expire(long now) {
-        entries.values().removeIf(e -> now - e.since() > retentionNanos);
+        entries.values().removeIf(e -> now - e.sinceNanos() > retentionNanos);
     }
 
     /**
      * One key's budget.
      *
      * @param budget the budget
-     * @param since when it was minted, in nanoseconds
+     * @param sinceNanos when it was created, in nanoseconds
      */
-    private record Entry(RootBudget budget, long since) {}
+    private record Entry(RootBudget budget, long sinceNanos) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/PlugIns.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/PlugIns.java
@@ -15,13 +15,13 @@
 import org.verbenadyke.kernel.routing.ChooserProvider;
 
 /**
- * Finds the plug-ins that registered themselves.
+ * Looks up plug-ins registered with {@link ServiceLoader}.
  */
 public final class PlugIns {
     private PlugIns() {}
 
     /**
-     * Makes a chooser.
+     * Creates a chooser.
      *
      * @param name the plug-in's name
      * @return the chooser
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Makes a concurrency limit.
+     * Creates a concurrency limit.
      *
      * @param name the plug-in's name
-     * @param settings its bounds
+     * @param settings the bounds of the limit
      * @return the limit
      */
     public static ConcurrencyLimit limit(String name, LimitSettings settings) {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Lists the choosers.
+     * Returns the available choosers.
      *
      * @return the names of the registered plug-ins
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Lists the concurrency limits.
+     * Returns the available concurrency limits.
      *
      * @return the names of the registered plug-ins
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Policy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Policy.java
@@ -7,19 +7,19 @@
 import org.verbenadyke.kernel.serve.ServeSettings;
 
 /**
- * How a node decides.
+ * The settings that determine how a node routes, limits, retries and serves requests.
  *
  * @param chooser the plug-in that chooses among upstreams
  * @param limit the plug-in that limits concurrency
  * @param subsetSize how many upstreams of a service a node uses at most
- * @param perHopRetries retries of each hop by itself, 0 to use the budget of the chain
- * @param defaultTtlNanos the time to live of a request that brings none, in nanoseconds
- * @param keyRetentionNanos how long an idempotency key is kept, in nanoseconds
- * @param gate how calls queue
+ * @param perHopRetries how many retries each hop makes on its own, 0 to use the budget of the call chain
+ * @param defaultTtlNanos the time to live of a request that states none, in nanoseconds
+ * @param keyRetentionNanos how long an idempotency key is retained, in nanoseconds
+ * @param gate how calls are queued and shed
  * @param limits the bounds of the concurrency limit
  * @param dispatch how requests are retried
  * @param serve how calls are served
- * @param link how links are watched
+ * @param link how links are monitored
  */
 public record Policy(
         String chooser,
@@ -41,7 +41,7 @@
     private static final int BASELINE_RETRIES = 3;
 
     /**
-     * Returns the policy of the project.
+     * Returns the default policy.
      *
      * @return the policy
      */
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Returns the policy that measurements compare with: three retries per hop, an unbounded queue, turns, no shedding.
+     * Returns the policy that benchmarks use as the baseline: three retries per hop, an unbounded queue, round-robin
+     * routing and no shedding.
      *
      * @return the policy
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/RoutedRequest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/RoutedRequest.java
@@ -8,15 +8,17 @@
 import org.verbenadyke.kernel.serve.CallContext;
 
 /**
- * A request whose route is known.
+ * A request that was matched to a route.
  *
  * @param route the route it matched
- * @param service the service chosen among the route's parts
- * @param content what the upstream gets
- * @param importance how much it matters, if it begins a chain
- * @param parent the call that the upstream beside the node made it for; empty if it begins a chain
- * @param ttlNanos how long its caller waits, in nanoseconds
- * @param waitedNanos how long its caller has waited already, in nanoseconds; 0 unless it was refused and came back
+ * @param service the service chosen by the route's traffic split
+ * @param content what is sent to the upstream
+ * @param importance its importance, used if it begins a call chain
+ * @param parent the call that the colocated upstream was serving when it sent the request; empty if the request begins
+ *     a call chain
+ * @param ttlNanos the caller's timeout, in nanoseconds
+ * @param waitedNanos how long its caller has waited already, in nanoseconds; 0 unless it was refused and retries after
+ *     its Retry-After delay
  */
 public record RoutedRequest(
         Route route,
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
@@ -7,4 +7,4 @@
  * @param subject the request, call or version concerned
  * @param history what was noted of it, oldest first
  */
-public record Breach(Promise promise, String subject, String history) {}
+public record Breach(Invariant promise, String subject, String history) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Promise.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Invariant.java
@@ -3,7 +3,7 @@
 /**
  * The promises that the ledger checks.
  */
-public enum Promise {
+public enum Invariant {
     /** Retries granted for one request stay within its budget. */
     RETRIES_BOUNDED,
     /** An attempt gets at most one answer, and only of its own request. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
@@ -52,7 +52,7 @@
      * @param request the request
      * @param retries its budget
      */
-    public void minted(RequestId request, int retries) {
+    public void budgetCreated(RequestId request, int retries) {
         if (on) {
             track(request).note(t -> t.budget = retries, "minted " + retries);
         }
@@ -70,7 +70,7 @@
         Track t = track(request);
         t.note(x -> x.spent++, "spent");
         if (t.budget >= 0 && t.spent > t.budget) {
-            breach(Promise.RETRIES_BOUNDED, request, t);
+            breach(Invariant.RETRIES_BOUNDED, request, t);
         }
     }
 
@@ -100,7 +100,7 @@
         Track t = track(call);
         t.note(x -> x.answers++, "answered");
         if (t.answers > 1 || t.request != null && !t.request.equals(request)) {
-            breach(Promise.ANSWER_MATCHED, call, t);
+            breach(Invariant.ANSWER_MATCHED, call, t);
         }
     }
 
@@ -118,10 +118,10 @@
         Track t = track(call);
         t.note(x -> x.handed++, "handed over");
         if (t.handed > 1) {
-            breach(Promise.AT_MOST_ONCE, call, t);
+            breach(Invariant.AT_MOST_ONCE, call, t);
         }
         if (t.refusedNotRun) {
-            breach(Promise.NOT_RUN_IS_TRUE, call, t);
+            breach(Invariant.NOT_RUN_IS_TRUE, call, t);
         }
         if (idempotent || key.isEmpty()) {
             return;
@@ -129,7 +129,7 @@
         Track k = track(new Key(key));
         k.note(x -> x.handed++, "handed over as " + call);
         if (k.handed > 1) {
-            breach(Promise.AT_MOST_ONCE, "key " + key, k);
+            breach(Invariant.AT_MOST_ONCE, "key " + key, k);
         }
     }
 
@@ -168,7 +168,7 @@
         Track t = track(call);
         t.note(x -> x.refusedNotRun = true, "refused as not run");
         if (t.handed > 0) {
-            breach(Promise.NOT_RUN_IS_TRUE, call, t);
+            breach(Invariant.NOT_RUN_IS_TRUE, call, t);
         }
     }
 
@@ -179,7 +179,7 @@
      */
     public void handedWhileDraining(CallId call) {
         if (on) {
-            breach(Promise.DRAINED_GETS_NOTHING, call, track(call));
+            breach(Invariant.DRAINED_GETS_NOTHING, call, track(call));
         }
     }
 
@@ -194,7 +194,7 @@
         }
         long before = version.getAndUpdate(v -> Math.max(v, newVersion));
         if (newVersion < before) {
-            listener.accept(new Breach(Promise.NEVER_REVERTS, "version " + newVersion, "after version " + before));
+            listener.accept(new Breach(Invariant.NEVER_REVERTS, "version " + newVersion, "after version " + before));
         }
     }
 
@@ -210,7 +210,7 @@
         return old != null ? old : g.current.computeIfAbsent(subject, s -> new Track());
     }
 
-    private void breach(Promise promise, Object subject, Track track) {
+    private void breach(Invariant promise, Object subject, Track track) {
         listener.accept(new Breach(promise, subject.toString(), track.history()));
     }
 
@@ -237,7 +237,7 @@
      * What was noted of one subject.
      */
     private static final class Track {
-        private static final int STEPS_MOST = 16;
+        private static final int MAX_STEPS = 16;
 
         private final List<String> steps = new ArrayList<>(2);
         private volatile RequestId request;
@@ -249,7 +249,7 @@
 
         synchronized void note(Consumer<Track> change, String step) {
             change.accept(this);
-            if (steps.size() < STEPS_MOST) {
+            if (steps.size() < MAX_STEPS) {
                 steps.add(step);
             }
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeptAnswer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeptAnswer.java
@@ -7,11 +7,11 @@
 import org.verbenadyke.kernel.call.Refusal;
 
 /**
- * The outcome of a call that may run only once, kept for whoever asks again.
+ * The outcome of a call that may run only once, stored so that later tries of the same call get it too.
  */
 public sealed interface KeptAnswer {
     /**
-     * The upstream answered, and the answer is whole.
+     * The upstream's complete answer.
      *
      * @param status the HTTP status
      * @param headers the header fields
@@ -20,16 +20,16 @@
     record Whole(int status, List<HeaderField> headers, byte[] body) implements KeptAnswer {}
 
     /**
-     * There is no answer to give.
+     * The call has no complete answer.
      *
-     * @param refusal what is known instead
+     * @param refusal the refusal that is sent instead
      */
     record Lost(Refusal refusal) implements KeptAnswer {}
 
     /**
-     * Returns the whole answer.
+     * Returns the complete answer.
      *
-     * @return the answer, if it was kept
+     * @return the answer, empty if the call has none
      */
     default Optional<Whole> whole() {
         return this instanceof Whole w ? Optional.of(w) : Optional.empty();
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * The idempotency keys that this node owns: each is claimed by one try, and later tries get that one's outcome. Keys
- * are kept for the retention after their last change. Safe for many threads.
+ * The idempotency keys of this node. Each key is claimed by one try; later tries get the outcome of that try. A key is
+ * retained for the retention time after its last change. Thread-safe.
  */
 public final class KeyTable {
     private final Map<String, Entry> entries = new ConcurrentHashMap<>();
@@ -22,7 +22,7 @@
     /**
      * Creates an empty table.
      *
-     * @param retentionNanos how long a key is kept, in nanoseconds
+     * @param retentionNanos how long a key is retained, in nanoseconds
      * @return the table
      */
     public static KeyTable keeping(long retentionNanos) {
@@ -33,9 +33,9 @@
      * Claims a key for a try.
      *
      * @param key the key
-     * @param fingerprint a hash of what the try asks for
+     * @param fingerprint a hash of the request
      * @param nowNanos the time
-     * @return what came of it
+     * @return the result of the claim
      */
     public Claim claim(String key, long fingerprint, long nowNanos) {
         Entry mine = new Entry(fingerprint, nowNanos);
@@ -49,27 +49,27 @@
         if (seen.fingerprint != fingerprint) {
             return new Claim.Reused();
         }
-        return new Claim.Taken(seen::whenDone);
+        return new Claim.Taken(seen::onOutcome);
     }
 
     /**
-     * Tells whether a key is known, be it claimed, settled or given away.
+     * Returns whether the table contains a key in any state: claimed, settled or sealed.
      *
      * @param key the key
-     * @return whether it is
+     * @return whether it does
      */
     public boolean contains(String key) {
         return entries.containsKey(key);
     }
 
     /**
-     * Gives a claim back, since the try was provably not handed over. Waiting tries are told so.
+     * Withdraws the claim of a try that is known not to have run, so that the key can be claimed again.
      *
      * @param key the key
-     * @param outcome what the waiting tries are told
+     * @param outcome the outcome reported to tries that wait for the claim
      */
     public void withdraw(String key, KeptAnswer outcome) {
-        Optional.ofNullable(entries.remove(key)).ifPresent(e -> e.finish(outcome, e.changed));
+        Optional.ofNullable(entries.remove(key)).ifPresent(e -> e.finish(outcome, e.changedNanos));
     }
 
     /**
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Takes over a key that another node settled. It replaces the seal of a key that this node had given to that node.
+     * Adopts a key that another node settled. The key's outcome replaces the seal, if this node had sealed the key.
      *
      * @param key the key
-     * @param fingerprint a hash of what its try asked for
+     * @param fingerprint a hash of the request
      * @param outcome its outcome
      * @param nowNanos the time
      */
@@ -98,38 +98,38 @@
     }
 
     /**
-     * Looks a key up for its new owner. A key that isn't known is sealed: this node will not run it any more.
+     * Looks up a key for its new owner. An unknown key is sealed, so that this node never runs it from now on.
      *
      * @param key the key
      * @param nowNanos the time
-     * @return the known entry, empty when the key was never claimed here
+     * @return the entry, empty when the key was never claimed here
      */
-    public Optional<Known> surrender(String key, long nowNanos) {
+    public Optional<ClaimedKey> lookUpOrSeal(String key, long nowNanos) {
         Entry seal = Entry.seal(nowNanos);
         Entry seen = entries.putIfAbsent(key, seal);
         if (seen == null || seen.sealed) {
             return Optional.empty();
         }
-        return Optional.of(new Known(key, seen.fingerprint, seen::whenDone));
+        return Optional.of(new ClaimedKey(key, seen.fingerprint, seen::onOutcome));
     }
 
     /**
-     * Lists what a planned stop hands on.
+     * Returns the keys that were claimed here, which a planned stop transfers to other nodes.
      *
-     * @return every key that was claimed here
+     * @return every key that isn't sealed
      */
-    public List<Known> known() {
-        List<Known> known = new ArrayList<>();
+    public List<ClaimedKey> claimedKeys() {
+        List<ClaimedKey> claimed = new ArrayList<>();
         entries.forEach((key, e) -> {
             if (!e.sealed) {
-                known.add(new Known(key, e.fingerprint, e::whenDone));
+                claimed.add(new ClaimedKey(key, e.fingerprint, e::onOutcome));
             }
         });
-        return known;
+        return claimed;
     }
 
     /**
-     * Forgets keys past their retention; running ones stay.
+     * Removes keys past their retention. Keys whose try is still running stay.
      *
      * @param nowNanos the time
      */
@@ -138,41 +138,41 @@
     }
 
     /**
-     * Returns the size.
+     * Returns the number of keys in the table.
      *
-     * @return how many keys are kept
+     * @return the size
      */
     public int size() {
         return entries.size();
     }
 
     /**
-     * A key and how to learn its outcome.
+     * A claimed key with access to its outcome.
      *
      * @param key the key
-     * @param fingerprint a hash of what its try asked for
-     * @param outcome calls back once, at once when the outcome is known
+     * @param fingerprint a hash of the request
+     * @param outcome calls its argument back once with the outcome, immediately if the outcome is known
      */
-    public record Known(String key, long fingerprint, Consumer<Consumer<KeptAnswer>> outcome) {}
+    public record ClaimedKey(String key, long fingerprint, Consumer<Consumer<KeptAnswer>> outcome) {}
 
     /**
-     * What came of a claim.
+     * The result of a claim.
      */
     public sealed interface Claim {
         /** The key is claimed; the try must settle or withdraw it. */
         record Granted() implements Claim {}
 
         /**
-         * Another try has the key.
+         * Another try claimed the key.
          *
-         * @param outcome calls back once with that try's outcome, at once when it is known
+         * @param outcome calls its argument back once with the outcome of that try, immediately if it is known
          */
         record Taken(Consumer<Consumer<KeptAnswer>> outcome) implements Claim {}
 
-        /** The key was used for something else. */
+        /** The key was used for a different request. */
         record Reused() implements Claim {}
 
-        /** The key was given away to another owner. */
+        /** The key is sealed because another node owns it now. */
         record Sealed() implements Claim {}
     }
 
@@ -183,7 +183,7 @@
         private final long fingerprint;
         private final boolean sealed;
         private final List<Consumer<KeptAnswer>> waiting = new ArrayList<>();
-        private long changed;
+        private long changedNanos;
         private KeptAnswer outcome;
 
         private Entry(long fingerprint, long now) {
@@ -192,7 +192,7 @@
 
         private Entry(long fingerprint, long now, boolean sealed) {
             this.fingerprint = fingerprint;
-            this.changed = now;
+            this.changedNanos = now;
             this.sealed = sealed;
         }
 
@@ -200,7 +200,7 @@
             return new Entry(0, now, true);
         }
 
-        void whenDone(Consumer<KeptAnswer> listener) {
+        void onOutcome(Consumer<KeptAnswer> listener) {
             synchronized (this) {
                 if (outcome == null) {
                     waiting.add(listener);
@@ -211,21 +211,21 @@
         }
 
         void finish(KeptAnswer answer, long now) {
-            List<Consumer<KeptAnswer>> told;
+            List<Consumer<KeptAnswer>> callbacks;
             synchronized (this) {
                 if (outcome != null) {
                     return;
                 }
                 outcome = answer;
-                changed = now;
-                told = List.copyOf(waiting);
+                changedNanos = now;
+                callbacks = List.copyOf(waiting);
                 waiting.clear();
             }
-            told.forEach(w -> w.accept(answer));
+            callbacks.forEach(c -> c.accept(answer));
         }
 
         synchronized boolean expired(long now, long retention) {
-            return (outcome != null || sealed) && now - changed > retention;
+            return (outcome != null || sealed) && now - changedNanos > retention;
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
@@ -6,20 +6,20 @@
 import org.verbenadyke.kernel.routing.Upstream;
 
 /**
- * Whether this node may run a keyed request, as its view of the membership says.
+ * Whether this node may run a request with an idempotency key, according to its view of the membership.
  */
 public sealed interface Ownership {
     /**
-     * The key is this node's, once the live former owners have said what they know of it.
+     * This node owns the key, but must first query the former owners that are still alive.
      *
-     * @param askFirst upstreams that take no work any more but may have run the key
-     * @param voucher the upstream that owned the key before this one came, if that was lately
+     * @param formerOwners upstreams that no longer accept work but may have run the key
+     * @param predecessor the upstream that owned the key before this one joined, if it joined recently
      */
-    record Owned(List<Upstream> askFirst, Optional<Upstream> voucher) implements Ownership {}
+    record Owned(List<Upstream> formerOwners, Optional<Upstream> predecessor) implements Ownership {}
 
-    /** The key is another node's. */
-    record Elsewhere() implements Ownership {}
+    /** Another node owns the key. */
+    record OwnedElsewhere() implements Ownership {}
 
-    /** A former owner is gone, and an earlier try may have run there. */
+    /** A former owner is gone, and may have run an earlier try. */
     record Uncertain() implements Ownership {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
@@ -8,9 +8,9 @@
 import org.verbenadyke.kernel.call.CallId;
 
 /**
- * Remembers the attempts that arrived or were sealed, so that each can start at most once. An id is kept for at least
- * one generation; after that, the fence on the call's age refuses any copy of it. An id that isn't known never arrived
- * only if it would have come within the memory.
+ * Records the ids of attempts that arrived or were sealed, so that each attempt starts at most once. An id is retained
+ * for at least one generation; after that, the limit on the age of a call refuses any copy of it. An unknown id proves
+ * that the attempt never arrived only if {@link #reachesBackTo} covers the time at which it was sent. Thread-safe.
  */
 public final class SeenCalls {
     private final AtomicReference<Generations> generations;
@@ -21,27 +21,28 @@
     }
 
     /**
-     * Creates an empty memory.
+     * Creates an empty record of ids.
      *
-     * @param nowNanos the time from which on it remembers, on the local clock
-     * @return the memory
+     * @param nowNanos the time from which ids are recorded, on the local clock
+     * @return the record
      */
     public static SeenCalls startingAt(long nowNanos) {
         return new SeenCalls(nowNanos);
     }
 
     /**
-     * Claims an id. Of all claims on one id within a generation, exactly one succeeds.
+     * Claims an id. Of all claims of the same id within a generation, exactly one succeeds.
      *
      * @param id the attempt
-     * @return whether it was not claimed before
+     * @return whether the id was not claimed before
      */
     public boolean claim(CallId id) {
         Generations g = generations.get();
-        if (g.previous().knows(id) || !g.current().claim(id)) {
+        if (g.previous().contains(id) || !g.current().claim(id)) {
             return false;
         }
-        // A generation that began meanwhile may hold another claim on the id; only one of the two gets the place there.
+        // If a generation began concurrently, it may hold another claim of the id; only one of the two claims wins
+        // there.
         for (Generations now = generations.get(); now != g; now = generations.get()) {
             if (!now.current().claim(id)) {
                 return false;
@@ -52,19 +53,19 @@
     }
 
     /**
-     * Notes that an id was refused or sealed and never runs.
+     * Records that an id was refused or sealed, so that its attempt never runs.
      *
      * @param id the attempt
      */
     public void neverRuns(CallId id) {
-        generations.get().current().neverRuns(id);
+        generations.get().current().markNeverRuns(id);
     }
 
     /**
-     * Tells whether an id is known to be one that never runs.
+     * Returns whether an id is known to belong to an attempt that never runs.
      *
      * @param id the attempt
-     * @return whether it was refused or sealed
+     * @return whether the id was refused or sealed
      */
     public boolean isNeverRun(CallId id) {
         Generations g = generations.get();
@@ -72,19 +73,19 @@
     }
 
     /**
-     * Tells whether every id that arrived since a time is still kept.
+     * Returns whether every id that arrived since a time is still recorded.
      *
      * @param nanos the time, on the local clock
-     * @return whether an id that isn't known has not arrived since then
+     * @return whether an unknown id cannot have arrived since then
      */
     public boolean reachesBackTo(long nanos) {
-        return generations.get().previous().reachesBackTo(nanos);
+        return generations.get().previous().coversSince(nanos);
     }
 
     /**
-     * Starts a generation and forgets the one before the last; called by one thread at a time.
+     * Starts a generation and discards the one before the last. Must be called by one thread at a time.
      *
-     * @param clock reads the local clock, in nanoseconds; read when ids already go to the new generation
+     * @param clock reads the local clock, in nanoseconds; read only after the new generation has begun to record ids
      */
     public void rotate(LongSupplier clock) {
         Generation fresh = new Generation();
@@ -93,9 +94,9 @@
     }
 
     /**
-     * Returns the size.
+     * Returns the number of recorded ids.
      *
-     * @return how many ids are kept
+     * @return the size
      */
     public int size() {
         Generations g = generations.get();
@@ -103,9 +104,9 @@
     }
 
     /**
-     * What is known of an id.
+     * What is known about an id.
      */
-    private enum Fate {
+    private enum IdStatus {
         /** It arrived. */
         CLAIMED,
         /** It was refused or sealed. */
@@ -113,10 +114,10 @@
     }
 
     /**
-     * The two generations that are kept.
+     * The two generations that are retained.
      *
-     * @param previous the older, which takes no claims
-     * @param current the newer
+     * @param previous the older one, which accepts no claims
+     * @param current the newer one
      */
     private record Generations(Generation previous, Generation current) {}
 
@@ -124,7 +125,7 @@
      * The ids of one generation.
      */
     private static final class Generation {
-        private final Map<CallId, Fate> ids = new ConcurrentHashMap<>();
+        private final Map<CallId, IdStatus> ids = new ConcurrentHashMap<>();
         private volatile boolean begun;
         private volatile long sinceNanos;
 
@@ -139,24 +140,24 @@
             begun = true;
         }
 
-        boolean reachesBackTo(long nanos) {
+        boolean coversSince(long nanos) {
             return begun && nanos - sinceNanos >= 0;
         }
 
         boolean claim(CallId id) {
-            return ids.putIfAbsent(id, Fate.CLAIMED) == null;
+            return ids.putIfAbsent(id, IdStatus.CLAIMED) == null;
         }
 
-        boolean knows(CallId id) {
+        boolean contains(CallId id) {
             return ids.containsKey(id);
         }
 
-        void neverRuns(CallId id) {
-            ids.put(id, Fate.NEVER_RUNS);
+        void markNeverRuns(CallId id) {
+            ids.put(id, IdStatus.NEVER_RUNS);
         }
 
         boolean isNeverRun(CallId id) {
-            return ids.get(id) == Fate.NEVER_RUNS;
+            return ids.get(id) == IdStatus.NEVER_RUNS;
         }
 
         int size() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Claims keys after asking the former owners that still run. Safe for many threads.
+ * Claims idempotency keys after querying the former owners that are still running. Thread-safe.
  */
 public final class KeyOwners implements KeyClaims {
     private final OwnerView view;
@@ -29,8 +29,8 @@
     private final TimerService timers;
     private final BooleanSupplier isolated;
     private final AtomicLong tickets = new AtomicLong();
-    private final Map<Long, Consumer<Optional<Message.KeyFact>>> asked = new ConcurrentHashMap<>();
-    private volatile Links links = (endpoint, taker) -> taker.accept(Optional.empty());
+    private final Map<Long, Consumer<Optional<Message.KeyFact>>> pendingQueries = new ConcurrentHashMap<>();
+    private volatile Links links = (endpoint, callback) -> callback.accept(Optional.empty());
 
     private KeyOwners(OwnerView view, OwnerSettings settings, TimerService timers, BooleanSupplier isolated) {
         this.view = view;
@@ -40,13 +40,13 @@
     }
 
     /**
-     * Creates the claims of a node.
+     * Creates the key claims of a node.
      *
-     * @param view whose keys are whose
-     * @param settings how long doubts last
-     * @param timers the time
-     * @param isolated tells whether this node has heard of no other for too long
-     * @return the claims
+     * @param view decides which node owns a key
+     * @param settings how long ownership may be in doubt
+     * @param timers the clock and timers
+     * @param isolated returns whether this node has received nothing from other nodes for too long
+     * @return the key claims
      */
     public static KeyOwners create(
             OwnerView view, OwnerSettings settings, TimerService timers, BooleanSupplier isolated) {
@@ -54,29 +54,29 @@
     }
 
     /**
-     * Sets where links to former owners come from.
+     * Sets the source of links to former owners.
      *
-     * @param newLinks the links
+     * @param newLinks the source of links
      */
     public void connectThrough(Links newLinks) {
         links = newLinks;
     }
 
     @Override
-    public void claim(LocalUpstream local, String key, long fingerprint, Consumer<Outcome> taker) {
+    public void claim(LocalUpstream local, String key, long fingerprint, Consumer<Outcome> callback) {
         if (local.keys().contains(key)) {
-            taker.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, timers.nanos())));
+            callback.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, timers.nanos())));
             return;
         }
         if (isolated.getAsBoolean()) {
-            taker.accept(new Outcome.Elsewhere());
+            callback.accept(new Outcome.Elsewhere());
             return;
         }
         switch (view.of(local, key)) {
-            case Ownership.Elsewhere e -> taker.accept(new Outcome.Elsewhere());
-            case Ownership.Uncertain u -> taker.accept(new Outcome.Uncertain());
+            case Ownership.OwnedElsewhere e -> callback.accept(new Outcome.Elsewhere());
+            case Ownership.Uncertain u -> callback.accept(new Outcome.Uncertain());
             case Ownership.Owned o ->
-                askAll(o, key, local, certain -> taker.accept(claimed(local, key, fingerprint, certain)));
+                queryAll(o, key, local, certain -> callback.accept(claimed(local, key, fingerprint, certain)));
         }
     }
 
@@ -88,67 +88,67 @@
     }
 
     /**
-     * Takes a message about keys from another node.
+     * Handles a message about keys from another node.
      *
-     * @param link the link it came by
+     * @param link the link it arrived on
      * @param message the message
-     * @param local the upstream beside this node, if there is one
+     * @param local the upstream colocated with this node, if there is one
      */
     public void received(Link link, Message message, Optional<LocalUpstream> local) {
         switch (message) {
             case Message.KeyAsk m -> answer(link, m, local);
             case Message.KeyTold m ->
-                Optional.ofNullable(asked.remove(m.ticket())).ifPresent(c -> c.accept(Optional.of(m.fact())));
+                Optional.ofNullable(pendingQueries.remove(m.ticket())).ifPresent(c -> c.accept(Optional.of(m.fact())));
             case Message.KeyHandOn m ->
                 local.ifPresent(l -> l.keys().adopt(m.key(), m.fingerprint(), m.outcome(), timers.nanos()));
-            case Message.KeysHandedOn m -> view.handedOn(m.upstream());
+            case Message.KeysHandedOn m -> view.keysTransferred(m.upstream());
             default -> throw new IllegalArgumentException(message.getClass().getSimpleName());
         }
     }
 
     /**
-     * Hands all settled keys on, before a planned stop.
+     * Transfers all claimed keys to other nodes before a planned stop, each as soon as its outcome is known.
      *
-     * @param local the upstream beside this node
-     * @param heirs the upstreams of the service that go on
+     * @param local the upstream colocated with this node
+     * @param successors the upstreams of the service that keep running
      */
-    public void handOn(LocalUpstream local, List<Upstream> heirs) {
-        List<KeyTable.Known> known = local.keys().known();
-        for (Upstream heir : heirs) {
+    public void handOn(LocalUpstream local, List<Upstream> successors) {
+        List<KeyTable.ClaimedKey> claimed = local.keys().claimedKeys();
+        for (Upstream successor : successors) {
             links.acquire(
-                    heir.node(),
+                    successor.node(),
                     link -> link.ifPresent(l -> {
-                        known.forEach(k -> k.outcome()
+                        claimed.forEach(k -> k.outcome()
                                 .accept(kept -> l.send(new Message.KeyHandOn(k.key(), k.fingerprint(), kept))));
                         l.send(new Message.KeysHandedOn(local.id()));
                     }));
         }
     }
 
-    private void askAll(Ownership.Owned owned, String key, LocalUpstream local, Consumer<Boolean> done) {
-        List<Question> questions = new ArrayList<>();
-        owned.askFirst().forEach(u -> questions.add(new Question(u, false)));
-        owned.voucher().ifPresent(u -> questions.add(new Question(u, true)));
-        if (questions.isEmpty()) {
+    private void queryAll(Ownership.Owned owned, String key, LocalUpstream local, Consumer<Boolean> done) {
+        List<OwnerQuery> queries = new ArrayList<>();
+        owned.formerOwners().forEach(u -> queries.add(new OwnerQuery(u, false)));
+        owned.predecessor().ifPresent(u -> queries.add(new OwnerQuery(u, true)));
+        if (queries.isEmpty()) {
             done.accept(true);
             return;
         }
-        AtomicInteger open = new AtomicInteger(questions.size());
-        AtomicInteger doubts = new AtomicInteger();
-        for (Question question : questions) {
-            ask(question, local.id(), key, fact -> {
-                if (!settle(fact, key, local)) {
-                    doubts.incrementAndGet();
+        AtomicInteger unanswered = new AtomicInteger(queries.size());
+        AtomicInteger uncertain = new AtomicInteger();
+        for (OwnerQuery query : queries) {
+            query(query, local.id(), key, fact -> {
+                if (!applyFact(fact, key, local)) {
+                    uncertain.incrementAndGet();
                 }
-                if (open.decrementAndGet() == 0) {
-                    done.accept(doubts.get() == 0);
+                if (unanswered.decrementAndGet() == 0) {
+                    done.accept(uncertain.get() == 0);
                 }
             });
         }
     }
 
-    /** Takes what a former owner said; false when it leaves a doubt. */
-    private boolean settle(Optional<Message.KeyFact> fact, String key, LocalUpstream local) {
+    /** Applies the reply of a former owner; returns false if it leaves the ownership in doubt. */
+    private boolean applyFact(Optional<Message.KeyFact> fact, String key, LocalUpstream local) {
         if (fact.isEmpty()) {
             return false;
         }
@@ -162,46 +162,48 @@
         };
     }
 
-    private void ask(Question question, String asker, String key, Consumer<Optional<Message.KeyFact>> taker) {
+    private void query(OwnerQuery query, String newOwner, String key, Consumer<Optional<Message.KeyFact>> callback) {
         long ticket = tickets.incrementAndGet();
-        asked.put(ticket, taker);
+        pendingQueries.put(ticket, callback);
         timers.after(
-                settings.askNanos(),
-                () -> Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty())));
-        links.acquire(question.upstream().node(), link -> {
+                settings.queryTimeoutNanos(),
+                () -> Optional.ofNullable(pendingQueries.remove(ticket)).ifPresent(c -> c.accept(Optional.empty())));
+        links.acquire(query.upstream().node(), link -> {
             if (link.isPresent()) {
-                link.get().send(new Message.KeyAsk(ticket, question.upstream().id(), asker, question.vouch(), key));
+                link.get().send(new Message.KeyAsk(ticket, query.upstream().id(), newOwner, query.vouch(), key));
                 return;
             }
-            Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty()));
+            Optional.ofNullable(pendingQueries.remove(ticket)).ifPresent(c -> c.accept(Optional.empty()));
         });
     }
 
     private void answer(Link link, Message.KeyAsk ask, Optional<LocalUpstream> local) {
-        // An upstream that came after the one asked knows none of its keys: taken for proof, that runs a key again.
+        // An upstream started after the queried one knows none of its keys. If its answer counted as proof, the key
+        // could
+        // run again.
         if (local.map(l -> !l.id().equals(ask.asked())).orElse(true)) {
             link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Unsure()));
             return;
         }
         LocalUpstream l = local.get();
-        Optional<KeyTable.Known> surrendered = l.keys().surrender(ask.key(), timers.nanos());
-        if (surrendered.isEmpty()) {
-            boolean unsure = ask.vouch() && view.unsure(l, ask.asker(), ask.key());
-            Message.KeyFact fact = unsure ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
+        Optional<KeyTable.ClaimedKey> claimed = l.keys().lookUpOrSeal(ask.key(), timers.nanos());
+        if (claimed.isEmpty()) {
+            boolean undetermined = ask.vouch() && view.mayHaveRunElsewhere(l, ask.asker(), ask.key());
+            Message.KeyFact fact = undetermined ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
             link.send(new Message.KeyTold(ask.ticket(), fact));
             return;
         }
-        KeyTable.Known k = surrendered.get();
+        KeyTable.ClaimedKey k = claimed.get();
         k.outcome()
                 .accept(kept ->
                         link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
     }
 
     /**
-     * A question to a former owner.
+     * A query to a former owner.
      *
      * @param upstream the former owner
-     * @param vouch whether it is also to say that nobody before it ran the key
+     * @param vouch whether it must also vouch that no owner before it ran the key
      */
-    private record Question(Upstream upstream, boolean vouch) {}
+    private record OwnerQuery(Upstream upstream, boolean vouch) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyTime.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyTimestamp.java
@@ -4,19 +4,19 @@
 import java.util.UUID;
 
 /**
- * Reads the time at which an idempotency key was made, when the key is a UUID of version 7.
+ * Extracts the creation time of an idempotency key, if the key is a version 7 UUID.
  */
-public final class KeyTime {
+public final class KeyTimestamp {
     private static final int VERSION = 7;
     private static final int TIME_SHIFT = 16;
 
-    private KeyTime() {}
+    private KeyTimestamp() {}
 
     /**
-     * Reads the time.
+     * Extracts the creation time.
      *
      * @param key the key
-     * @return milliseconds since the epoch by the caller's clock, empty when the key doesn't tell
+     * @return milliseconds since the epoch by the caller's clock, empty if the key holds no time
      */
     public static Optional<Long> of(String key) {
         try {
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
@@ -1,22 +1,23 @@
 package org.verbenadyke.kernel.owner;
 
 /**
- * How long doubts about a key's owner last.
+ * How long the ownership of a key may be in doubt.
  *
- * @param keyRetentionNanos how long a key is kept, and so for how long an earlier owner may have run it, in nanoseconds
- * @param skewMillis by how much the clocks of callers and nodes may differ, in milliseconds
- * @param askNanos how long a former owner may take to answer, in nanoseconds
- * @param isolatedNanos after how long without a word from other nodes this one takes no keys, in nanoseconds
+ * @param keyRetentionNanos how long a key is retained, and so for how long an earlier owner may have run it, in
+ *     nanoseconds
+ * @param maxSkewMillis by how much the clocks of callers and nodes may differ, in milliseconds
+ * @param queryTimeoutNanos how long a former owner may take to reply, in nanoseconds
+ * @param isolatedNanos how long this node claims keys without receiving anything from other nodes, in nanoseconds
  */
-public record OwnerSettings(long keyRetentionNanos, long skewMillis, long askNanos, long isolatedNanos) {
+public record OwnerSettings(long keyRetentionNanos, long maxSkewMillis, long queryTimeoutNanos, long isolatedNanos) {
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_SKEW_MILLIS = 1_000;
     private static final long DEFAULT_ISOLATED_SECONDS = 2;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
-     * @param keyRetentionNanos how long a key is kept, in nanoseconds
+     * @param keyRetentionNanos how long a key is retained, in nanoseconds
      * @return the settings
      */
     public static OwnerSettings keeping(long keyRetentionNanos) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -17,10 +17,10 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Decides whose a key is and who may have run it before, from the membership as this node sees it. The owner is the
- * upstream that takes work and ranks highest for the key. Every upstream that takes no work any more may have been an
- * owner before, whatever its rank, since others may have been out at the time; while this node is new, the next in rank
- * may have been, too.
+ * Decides which upstream owns a key and which ones may have run it before, from this node's view of the membership. The
+ * owner is the upstream with the highest rank for the key among those that accept work. Every upstream that no longer
+ * accepts work may have owned the key before, whatever its rank, since others may have been absent at that time. While
+ * this node is new, so may the upstream that is next in rank.
  */
 public final class OwnerView {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -29,7 +29,7 @@
     private final TimerService timers;
     private final OwnerSettings settings;
     private final Predicate<MemberRecord> leaving;
-    private final Set<String> handedOn = ConcurrentHashMap.newKeySet();
+    private final Set<String> keysTransferred = ConcurrentHashMap.newKeySet();
 
     private OwnerView(MemberTable table, TimerService timers, OwnerSettings settings, Predicate<MemberRecord> leaving) {
         this.table = table;
@@ -42,9 +42,9 @@
      * Creates a view.
      *
      * @param table the members
-     * @param timers the time
-     * @param settings how long doubts last
-     * @param leaving tells which members the operators made leave
+     * @param timers the clock
+     * @param settings how long the ownership of a key may be in doubt
+     * @param leaving returns whether the operators took a member out of service
      * @return the view
      */
     public static OwnerView of(
@@ -53,107 +53,107 @@
     }
 
     /**
-     * Notes that an upstream handed on all its keys before it stopped.
+     * Records that an upstream transferred all its keys before it stopped.
      *
      * @param upstreamId its id
      */
-    public void handedOn(String upstreamId) {
-        handedOn.add(upstreamId);
+    public void keysTransferred(String upstreamId) {
+        keysTransferred.add(upstreamId);
     }
 
     /**
-     * Looks at one key.
+     * Decides who owns a key.
      *
-     * @param local the upstream beside this node
+     * @param local the upstream colocated with this node
      * @param key the key
-     * @return whose it is
+     * @return the ownership
      */
     public Ownership of(LocalUpstream local, String key) {
         String service = local.service();
-        String me = local.id();
-        long mySinceNanos = local.sinceNanos();
+        String ownId = local.id();
+        long ownSinceNanos = local.sinceNanos();
         List<MemberRecord> present = table.present().stream()
                 .filter(r -> r.service().equals(service))
                 .toList();
-        long mine = Rendezvous.hash(me, key);
-        List<Upstream> ask = new ArrayList<>();
+        long ownRank = Rendezvous.hash(ownId, key);
+        List<Upstream> formerOwners = new ArrayList<>();
         Optional<MemberRecord> next = Optional.empty();
         long nextRank = Long.MIN_VALUE;
         for (MemberRecord r : present) {
-            if (r.upstreamId().equals(me)) {
+            if (r.upstreamId().equals(ownId)) {
                 continue;
             }
             long rank = Rendezvous.hash(r.upstreamId(), key);
             boolean takesWork = r.state().accepting() && !leaving.test(r);
-            if (rank > mine && takesWork) {
-                return new Ownership.Elsewhere();
+            if (rank > ownRank && takesWork) {
+                return new Ownership.OwnedElsewhere();
             }
             if (!takesWork) {
-                r.upstream().ifPresent(ask::add);
+                r.upstream().ifPresent(formerOwners::add);
             } else if (rank >= nextRank) {
                 nextRank = rank;
                 next = Optional.of(r);
             }
         }
-        if (departedOwner(service, me, key)) {
+        if (departedOwner(service, ownId, key)) {
             return new Ownership.Uncertain();
         }
-        Optional<Upstream> voucher = Optional.empty();
-        if (timers.nanos() - mySinceNanos < settings.keyRetentionNanos()) {
-            if (next.isEmpty() && !madeAfter(key, mySinceNanos)) {
+        Optional<Upstream> predecessor = Optional.empty();
+        if (timers.nanos() - ownSinceNanos < settings.keyRetentionNanos()) {
+            if (next.isEmpty() && !createdAfter(key, ownSinceNanos)) {
                 return new Ownership.Uncertain();
             }
-            voucher = next.flatMap(MemberRecord::upstream);
+            predecessor = next.flatMap(MemberRecord::upstream);
         }
-        ask.sort(Comparator.comparing(Upstream::id));
-        return new Ownership.Owned(ask, voucher);
+        formerOwners.sort(Comparator.comparing(Upstream::id));
+        return new Ownership.Owned(formerOwners, predecessor);
     }
 
     /**
-     * Tells whether this node, asked as a former owner, can't vouch that nobody else ran a key before.
+     * Returns whether this node, queried as a former owner, cannot rule out that another node ran a key before.
      *
-     * @param local the upstream beside this node
+     * @param local the upstream colocated with this node
      * @param asker the id of the upstream that owns the key now
      * @param key the key
-     * @return whether a doubt is left
+     * @return whether another node may have run the key
      */
-    public boolean unsure(LocalUpstream local, String asker, String key) {
+    public boolean mayHaveRunElsewhere(LocalUpstream local, String asker, String key) {
         boolean fresh = timers.nanos() - local.sinceNanos() < settings.keyRetentionNanos()
-                && !madeAfter(key, local.sinceNanos());
+                && !createdAfter(key, local.sinceNanos());
         return fresh || otherOwner(local, asker, key) || departedOwner(local.service(), local.id(), key);
     }
 
     /**
-     * Tells whether, as this node sees it, the key was neither its own nor the asker's. One that leaves counts: the
-     * asker may not have heard of it, and so not have asked it.
+     * Returns whether a third upstream ranks higher for the key than this node's upstream. A leaving upstream counts
+     * too: the asker may not know of it, and so may not have queried it.
      */
     private boolean otherOwner(LocalUpstream local, String asker, String key) {
-        long mine = Rendezvous.hash(local.id(), key);
+        long ownRank = Rendezvous.hash(local.id(), key);
         return table.present().stream()
                 .filter(r -> r.service().equals(local.service()))
                 .filter(r -> !r.upstreamId().equals(asker) && !r.upstreamId().equals(local.id()))
-                .anyMatch(r -> Rendezvous.hash(r.upstreamId(), key) > mine);
+                .anyMatch(r -> Rendezvous.hash(r.upstreamId(), key) > ownRank);
     }
 
-    /** Tells whether an upstream that is gone may have run the key. */
-    private boolean departedOwner(String service, String me, String key) {
+    /** Returns whether an upstream that is gone may have run the key. */
+    private boolean departedOwner(String service, String ownId, String key) {
         long now = timers.nanos();
         for (MemberTable.Departure d : table.departures()) {
             boolean relevant = d.service().equals(service)
-                    && !d.upstreamId().equals(me)
+                    && !d.upstreamId().equals(ownId)
                     && now - d.since() < settings.keyRetentionNanos()
-                    && !(d.planned() && handedOn.contains(d.upstreamId()));
-            if (relevant && !madeAfter(key, d.since())) {
+                    && !(d.planned() && keysTransferred.contains(d.upstreamId()));
+            if (relevant && !createdAfter(key, d.since())) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean madeAfter(String key, long nanos) {
+    private boolean createdAfter(String key, long nanos) {
         long wallThen = timers.wallMillis() - (timers.nanos() - nanos) / NANOS_PER_MILLI;
-        return KeyTime.of(key)
-                .map(made -> made > wallThen + settings.skewMillis())
+        return KeyTimestamp.of(key)
+                .map(created -> created > wallThen + settings.maxSkewMillis())
                 .orElse(false);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.time.VirtualTimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
 
-/** Makes engines that are connected by a {@link MemoryNet}, and know each other's upstreams as a test tells them. */
+/** Creates engines that are connected by a {@link MemoryNet}; each test registers the upstreams they know. */
 final class Engines {
     static final Place PLACE = new Place("r", "d");
 
@@ -38,16 +38,16 @@
         return Engine.create(parts, Policy.standard());
     }
 
-    /** A running call that can't be steered: its answer comes when the test wants. */
+    /** A running call that ignores its caller; the test sends the answer. */
     static final class Silent implements UpstreamPort.Exchange {
         @Override
         public void request() {
-            // The answer comes when the test wants.
+            // The test sends the answer.
         }
 
         @Override
         public void cancel() {
-            // The run goes on.
+            // The call keeps running.
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenFilingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
@@ -18,16 +18,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * Tests a filing whose fate is asked of a node that has forgotten it.
+ * Tests inquiries about a non-idempotent attempt to a node that no longer knows it.
  *
- * <p>Two filings ran twice after seven of seventeen nodes had crashed at once and started again 0.85 seconds later.
- * Each had been handed to its server 0.2 to 0.3 seconds before the crash. The entry asked the new process of the
- * node what had become of the attempt. That process had just begun with an empty memory, took the unknown id for one
- * that never arrived, sealed it and said that it had not run; the entry sent the filing to another server. The new
- * process learned of its first member at 15.447 s, and the second runs began at 15.491 s and 15.531 s. A node that
- * has been up all along forgets, too, when the asker was paused for longer than ids are kept.
+ * <p>Guards against a request running twice: its node crashes after handing it to the upstream and restarts, and the
+ * entry node asks the new process about the attempt. With its empty history that process took the unknown id for one
+ * that never arrived, sealed it and answered that it had not run, so that the entry node sent the request to another
+ * server. Observed for two requests when seven of seventeen nodes crashed 0.2 to 0.3 seconds after the hand-over and
+ * restarted 0.85 seconds later; the second runs began within 0.1 seconds (at 15.491 s and 15.531 s) of the new process
+ * learning of its first member (at 15.447 s). A node that did not restart forgets an attempt, too, if the entry node
+ * was paused for longer than ids are retained.
  */
-final class ForgottenFilingTest {
+final class ForgottenAttemptTest {
     private static final long MILLI = 1_000_000L;
     private static final long TTL = 2_000 * MILLI;
     private static final List<Endpoint> SERVERS = List.of(new Endpoint("10.0.0.2", 1), new Endpoint("10.0.0.3", 1));
@@ -37,10 +38,10 @@
     private final VirtualTimerService serverClock = VirtualTimerService.startingAt(0);
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
-    private final List<String> got = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private final Engine entry = Engines.create(net, "entry", 1, entryClock, Quarantine.alone(entryClock));
 
-    ForgottenFilingTest() {
+    ForgottenAttemptTest() {
         entryClock.advance(MILLI);
         serverClock.advance(MILLI);
         SERVERS.forEach(s -> start(s, 2));
@@ -51,39 +52,39 @@
     }
 
     @Test
-    void isNotSentOnWhenItsNodeHasStartedAnewSince() {
+    void isNotReroutedWhenItsNodeHasRestarted() {
         send("POST");
         Endpoint first = runs.getFirst();
         net.crash(first);
         entryClock.advance(300 * MILLI);
-        assertEquals(List.of(), got);
+        assertEquals(List.of(), outcomes);
         start(first, 3);
         entryClock.advance(300 * MILLI);
         assertEquals(List.of(first), runs);
-        assertEquals(List.of("refused MAY_HAVE_RUN CONNECTION_LOST 0"), got);
+        assertEquals(List.of("refused MAY_HAVE_RUN CONNECTION_LOST 0"), outcomes);
     }
 
     @Test
-    void isNotSentOnWhenItsNodeForgotItWhileTheEntryWasPaused() {
+    void isNotReroutedWhenItsNodeForgotItWhileTheEntryNodeWasPaused() {
         send("POST");
         Endpoint first = runs.getFirst();
-        net.pauseOpeners();
+        net.pauseClients();
         answer(first);
         serverClock.advance(200_000 * MILLI);
-        net.resumeOpeners();
+        net.resumeClients();
         entryClock.advance(300 * MILLI);
         assertEquals(List.of(first), runs);
-        assertEquals(List.of("refused MAY_HAVE_RUN CONNECTION_LOST 0"), got);
+        assertEquals(List.of("refused MAY_HAVE_RUN CONNECTION_LOST 0"), outcomes);
     }
 
     @Test
-    void isSentOnWhenItNeverReachedItsNode() {
+    void isReroutedWhenItNeverReachedItsNode() {
         while (runs.stream().distinct().count() < SERVERS.size()) {
             send("GET");
             answer(runs.getLast());
         }
         runs.clear();
-        SERVERS.forEach(net::deafen);
+        SERVERS.forEach(net::dropIncoming);
         send("POST");
         assertEquals(List.of(), runs);
         SERVERS.forEach(net::reset);
@@ -103,7 +104,7 @@
 
     private void send(String method) {
         Message.Content content = new Message.Content(method, "/p", List.of(), new byte[0]);
-        entry.enter(new Inbound("s", content, "", Optional.of(TTL)), new RecordingSink(got));
+        entry.enter(new Inbound("s", content, "", Optional.of(TTL)), new RecordingSink(outcomes));
     }
 
     private void answer(Endpoint server) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/MemoryNet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/MemoryNet.java
@@ -13,13 +13,13 @@
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.routing.Endpoint;
 
-/** Connects engines in one thread. Messages arrive in order and at once, unless a test says otherwise. */
+/** Connects engines in one thread. Messages are delivered in order and immediately unless a test delays them. */
 final class MemoryNet {
     private final Map<Endpoint, Supplier<Transport.Handler>> listening = new HashMap<>();
     private final List<Pipe> pipes = new ArrayList<>();
     private final Deque<Runnable> pending = new ArrayDeque<>();
-    private final List<Runnable> held = new ArrayList<>();
-    private boolean openersPaused;
+    private final List<Runnable> delayed = new ArrayList<>();
+    private boolean clientsPaused;
     private boolean pumping;
 
     Transport transport() {
@@ -30,56 +30,57 @@
         listening.put(endpoint, accept);
     }
 
-    /** Ends the process at an endpoint: nothing of it does anything any more, and its peers lose their connections. */
+    /** Crashes the process at an endpoint: it handles and sends nothing more, and its peers lose their connections. */
     void crash(Endpoint endpoint) {
         listening.remove(endpoint);
-        pipes.stream().filter(p -> p.server.equals(endpoint)).forEach(p -> {
+        pipes.stream().filter(p -> p.endpoint.equals(endpoint)).forEach(p -> {
             p.cut = true;
-            toOpener(p.below::ended);
+            deliverToClient(p.client::ended);
         });
-        pipes.removeIf(p -> p.server.equals(endpoint));
+        pipes.removeIf(p -> p.endpoint.equals(endpoint));
     }
 
-    /** Holds back all that the opening sides of connections would learn, as while their process is paused. */
-    void pauseOpeners() {
-        openersPaused = true;
+    /** Delays all events of the client sides of connections, as if their process were paused. */
+    void pauseClients() {
+        clientsPaused = true;
     }
 
-    /** Lets the opening sides learn what was held back. */
-    void resumeOpeners() {
-        openersPaused = false;
-        List<Runnable> due = List.copyOf(held);
-        held.clear();
+    /** Delivers the events that were delayed. */
+    void resumeClients() {
+        clientsPaused = false;
+        List<Runnable> due = List.copyOf(delayed);
+        delayed.clear();
         due.forEach(this::later);
     }
 
-    /** Loses what is sent to the process at an endpoint on the connections it has now. */
-    void deafen(Endpoint endpoint) {
-        pipes.stream().filter(p -> p.server.equals(endpoint)).forEach(p -> p.deaf = true);
+    /** Drops all messages sent to an endpoint over its current connections. */
+    void dropIncoming(Endpoint endpoint) {
+        pipes.stream().filter(p -> p.endpoint.equals(endpoint)).forEach(p -> p.dropping = true);
     }
 
-    /** Ends the connections to an endpoint on both sides. */
+    /** Closes the connections to an endpoint on both sides. */
     void reset(Endpoint endpoint) {
-        List<Pipe> ended = pipes.stream().filter(p -> p.server.equals(endpoint)).toList();
-        pipes.removeAll(ended);
-        ended.forEach(Pipe::close);
+        List<Pipe> open =
+                pipes.stream().filter(p -> p.endpoint.equals(endpoint)).toList();
+        pipes.removeAll(open);
+        open.forEach(Pipe::close);
     }
 
-    private void connect(Endpoint endpoint, Transport.Handler below) {
+    private void connect(Endpoint endpoint, Transport.Handler client) {
         Supplier<Transport.Handler> accept = listening.get(endpoint);
         if (accept == null) {
-            below.ended();
+            client.ended();
             return;
         }
-        Pipe pipe = new Pipe(endpoint, below, accept.get());
+        Pipe pipe = new Pipe(endpoint, client, accept.get());
         pipes.add(pipe);
-        below.opened(pipe.upwards());
-        pipe.above.opened(pipe.downwards());
+        client.opened(pipe.toServer());
+        pipe.server.opened(pipe.toClient());
     }
 
-    private void toOpener(Runnable task) {
-        if (openersPaused) {
-            held.add(task);
+    private void deliverToClient(Runnable task) {
+        if (clientsPaused) {
+            delayed.add(task);
         } else {
             later(task);
         }
@@ -97,26 +98,26 @@
         pumping = false;
     }
 
-    /** One connection; {@code below} is the side that opened it. */
+    /** One connection; the client is the side that opened it. */
     private final class Pipe {
-        private final Endpoint server;
-        private final Transport.Handler below;
-        private final Transport.Handler above;
+        private final Endpoint endpoint;
+        private final Transport.Handler client;
+        private final Transport.Handler server;
         private boolean cut;
-        private boolean deaf;
+        private boolean dropping;
 
-        private Pipe(Endpoint server, Transport.Handler below, Transport.Handler above) {
+        private Pipe(Endpoint endpoint, Transport.Handler client, Transport.Handler server) {
+            this.endpoint = endpoint;
+            this.client = client;
             this.server = server;
-            this.below = below;
-            this.above = above;
         }
 
-        Channel upwards() {
+        Channel toServer() {
             return new Channel() {
                 @Override
                 public void write(Message message) {
-                    if (!deaf) {
-                        later(() -> pass(above, message));
+                    if (!dropping) {
+                        later(() -> pass(server, message));
                     }
                 }
 
@@ -127,11 +128,11 @@
             };
         }
 
-        Channel downwards() {
+        Channel toClient() {
             return new Channel() {
                 @Override
                 public void write(Message message) {
-                    toOpener(() -> pass(below, message));
+                    deliverToClient(() -> pass(client, message));
                 }
 
                 @Override
@@ -150,8 +151,8 @@
         private void close() {
             if (!cut) {
                 cut = true;
-                toOpener(below::ended);
-                later(above::ended);
+                deliverToClient(client::ended);
+                later(server::ended);
             }
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ReturnedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ReattachedUpstreamTest.java
@@ -14,8 +14,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests an upstream that was gone and announces itself again under the same id. */
-final class ReturnedUpstreamTest {
+/** Tests an upstream that detached and registers again under the same id. */
+final class ReattachedUpstreamTest {
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final Engine engine = Engine.create(
             new EngineParts(
@@ -36,7 +36,7 @@
             Policy.standard());
 
     @Test
-    void knowsTheKeysThatItRan() {
+    void retainsTheKeysThatItRan() {
         UpstreamPort port = (handOver, listener) -> null;
         engine.attach("u1", "s", port).keys().claim("key", 1, clock.nanos());
         engine.server().detach();
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
@@ -21,8 +21,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-/** Tests what callers are told of requests under which upstreams end, and what these still get. */
-final class EndedUpstreamTest {
+/** Tests how requests that crash upstreams are refused, and that later upstreams are protected from them. */
+final class UpstreamCrashTest {
     private static final long MILLI = 1_000_000L;
     private static final Message.Content BAD = content("GET", "/bad");
     private static final List<Endpoint> SERVERS =
@@ -34,96 +34,96 @@
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final Map<Endpoint, LocalUpstream> locals = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
-    private final List<String> got = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private final Engine entry = engine("entry", 1, quarantine);
 
-    EndedUpstreamTest() {
+    UpstreamCrashTest() {
         clock.advance(MILLI);
         SERVERS.forEach(this::start);
         route(entry);
     }
 
     @Test
-    void isNotTriedAgainOnceItIsHeldBackAndIsToldThatItMayHaveRun() {
+    void isNotRetriedOnceQuarantinedAndIsReportedAsMaybeRun() {
         send(BAD);
-        end(runs.getLast());
-        end(runs.getLast());
-        end(runs.getLast());
+        crash(runs.getLast());
+        crash(runs.getLast());
+        crash(runs.getLast());
         assertEquals(3, runs.size());
-        assertEquals(1, got.size());
-        assertEquals("refused MAY_HAVE_RUN", got.getFirst().substring(0, 20));
+        assertEquals(1, outcomes.size());
+        assertEquals("refused MAY_HAVE_RUN", outcomes.getFirst().substring(0, 20));
     }
 
     @Test
-    void isRefusedAsNotRunWhenItComesAgain() {
+    void isRefusedAsNotRunWhenItIsSentAgain() {
         SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
         send(BAD);
         assertEquals(List.of(), runs);
-        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
+        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
     }
 
     @Test
-    void isStoppedAtTheUpstreamWhereTheEntryDoesNotKnowYet() {
+    void isRefusedByTheCalledNodeWhenTheEntryNodeDoesNotKnowYet() {
         SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
-        send(unknowing(), BAD, "");
+        send(uninformedEntry(), BAD, "");
         assertEquals(List.of(), runs);
-        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
+        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
     }
 
     @Test
-    void aFilingWithAKeyIsStoppedThereToo() {
-        Message.Content filing = content("POST", "/bad");
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(filing, s.host()));
-        send(unknowing(), filing, "key-1");
+    void aKeyedRequestIsRefusedByTheCalledNodeToo() {
+        Message.Content nonIdempotent = content("POST", "/bad");
+        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(nonIdempotent, s.host()));
+        send(uninformedEntry(), nonIdempotent, "key-1");
         assertEquals(List.of(), runs);
-        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
+        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
     }
 
-    /** What needs the call fails with it, and nobody above tries that again. */
+    /** The request that needs the call fails with it, and no calling node retries that request. */
     @Test
-    void aCallInsideAChainIsHeldBackAndItsFailureIsFinal() {
+    void aNestedCallIsQuarantinedAndItsFailureIsFinal() {
         SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
-        Endpoint above = new Endpoint("10.0.1.1", 1);
-        Engine caller = engine(above.host(), 3, quarantine);
+        Endpoint calling = new Endpoint("10.0.1.1", 1);
+        Engine caller = engine(calling.host(), 3, quarantine);
         route(caller);
-        List<String> below = new ArrayList<>();
-        caller.attach(above.host(), "a", (handOver, listener) -> {
-            runs.add(above);
-            caller.callFrom(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(below));
+        List<String> nested = new ArrayList<>();
+        caller.attach(calling.host(), "a", (handOver, listener) -> {
+            runs.add(calling);
+            caller.callFrom(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(nested));
             listener.head(500, List.of());
             listener.end();
             return new Engines.Silent();
         });
-        net.listen(above, caller::accept);
-        entry.router().update(List.of(new Upstream(above.host(), "a", above, Engines.PLACE)));
-        entry.enter(inbound("a", content("GET", "/p"), ""), new RecordingSink(got));
-        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), below);
-        assertEquals(List.of(above), runs);
-        assertEquals("head 500", got.getFirst());
+        net.listen(calling, caller::accept);
+        entry.router().update(List.of(new Upstream(calling.host(), "a", calling, Engines.PLACE)));
+        entry.enter(inbound("a", content("GET", "/p"), ""), new RecordingSink(outcomes));
+        assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), nested);
+        assertEquals(List.of(calling), runs);
+        assertEquals("head 500", outcomes.getFirst());
     }
 
     @Test
-    void aFilingIsRunOnceAndCountsToo() {
-        Message.Content filing = content("POST", "/bad");
-        send(filing);
-        end(runs.getLast());
+    void aNonIdempotentRequestRunsOnceAndItsCrashCounts() {
+        Message.Content nonIdempotent = content("POST", "/bad");
+        send(nonIdempotent);
+        crash(runs.getLast());
         assertEquals(1, runs.size());
-        assertEquals(List.of("refused MAY_HAVE_RUN UPSTREAM_ENDED 0"), got);
+        assertEquals(List.of("refused MAY_HAVE_RUN UPSTREAM_ENDED 0"), outcomes);
         assertEquals(1, quarantine.ends(10).size());
     }
 
     @Test
-    void anUpstreamThatWasLeavingTellsNothingByItsEnd() {
+    void theCrashOfADrainingUpstreamDoesNotCount() {
         send(content("POST", "/bad"));
         locals.get(runs.getLast()).drain(true);
-        end(runs.getLast());
+        crash(runs.getLast());
         assertEquals(
                 List.of(),
                 quarantine.ends(10).stream().filter(e -> e.toldBy().isEmpty()).toList());
     }
 
     @Test
-    void runsAloneAfterTwoEndsAndIsFreeOnceAnswered() {
+    void runsAloneAfterTwoCrashesAndIsFreeOnceAnswered() {
         quarantine.ended(BAD, "gone-1");
         quarantine.ended(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
@@ -139,9 +139,9 @@
         assertEquals(first, runs.getLast());
     }
 
-    /** It waits beside the queue, which is emptied when an upstream begins to leave. */
+    /** The suspected request waits outside of the queue, which is emptied when an upstream begins to drain. */
     @Test
-    void isNotHandedToAnUpstreamThatBeganToLeaveWhileItWaited() {
+    void isNotHandedToAnUpstreamThatBeganToDrainWhileItWaited() {
         quarantine.ended(BAD, "gone-1");
         quarantine.ended(BAD, "gone-2");
         Endpoint only = SERVERS.getFirst();
@@ -153,18 +153,18 @@
         running.get(only).head(200, List.of());
         running.get(only).end();
         assertEquals(List.of(only), runs);
-        assertEquals("refused NOT_RUN NO_UPSTREAM", got.getLast().substring(0, 27));
+        assertEquals("refused NOT_RUN NO_UPSTREAM", outcomes.getLast().substring(0, 27));
     }
 
     @Test
-    void isHeldBackThoughItWaitedWhileUpstreamsEndedElsewhere() {
+    void isQuarantinedEvenIfItWaitedWhileOtherUpstreamsCrashed() {
         quarantine.ended(BAD, "gone-1");
         quarantine.ended(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
         int before = runs.size();
-        end(runs.getFirst());
+        crash(runs.getFirst());
         assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
         List.copyOf(runs).forEach(s -> running.get(s).broken());
         assertEquals(before, runs.size());
@@ -191,8 +191,8 @@
                         .toList());
     }
 
-    /** Returns an entry that has heard of no ends. */
-    private Engine unknowing() {
+    /** Returns an entry node that knows of no crashes. */
+    private Engine uninformedEntry() {
         Engine late = engine("late", 9, Quarantine.alone(clock));
         route(late);
         return late;
@@ -203,14 +203,14 @@
     }
 
     private void send(Engine at, Message.Content content, String key) {
-        at.enter(inbound("s", content, key), new RecordingSink(got));
+        at.enter(inbound("s", content, key), new RecordingSink(outcomes));
     }
 
     private static Inbound inbound(String service, Message.Content content, String key) {
         return new Inbound(service, content, key, Optional.of(10_000 * MILLI));
     }
 
-    private void end(Endpoint server) {
+    private void crash(Endpoint server) {
         running.get(server).upstreamEnded();
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
@@ -24,17 +24,17 @@
     }
 
     @Test
-    void tellsLaterTriesTheOutcome() {
+    void reportsTheOutcomeToLaterTries() {
         table.claim("k", 1, 0);
-        List<KeptAnswer> told = new ArrayList<>();
-        ((KeyTable.Claim.Taken) table.claim("k", 1, 0)).outcome().accept(told::add);
+        List<KeptAnswer> outcomes = new ArrayList<>();
+        ((KeyTable.Claim.Taken) table.claim("k", 1, 0)).outcome().accept(outcomes::add);
         table.settle("k", ANSWER, 5);
-        ((KeyTable.Claim.Taken) table.claim("k", 1, 6)).outcome().accept(told::add);
-        assertEquals(List.of(ANSWER, ANSWER), told);
+        ((KeyTable.Claim.Taken) table.claim("k", 1, 6)).outcome().accept(outcomes::add);
+        assertEquals(List.of(ANSWER, ANSWER), outcomes);
     }
 
     @Test
-    void refusesAnotherUseOfAKey() {
+    void refusesAKeyReusedForAnotherRequest() {
         table.claim("k", 1, 0);
         assertInstanceOf(KeyTable.Claim.Reused.class, table.claim("k", 2, 0));
     }
@@ -47,20 +47,20 @@
     }
 
     @Test
-    void neverRunsAKeyItGaveAway() {
-        assertTrue(table.surrender("k", 0).isEmpty());
+    void neverRunsASealedKey() {
+        assertTrue(table.lookUpOrSeal("k", 0).isEmpty());
         assertInstanceOf(KeyTable.Claim.Sealed.class, table.claim("k", 1, 0));
     }
 
     @Test
-    void takesBackAKeyThatItsNextOwnerHandsOn() {
-        table.surrender("k", 0);
+    void adoptsASealedKeyThatItsNextOwnerTransfers() {
+        table.lookUpOrSeal("k", 0);
         table.adopt("k", 1, ANSWER, 5);
         assertInstanceOf(KeyTable.Claim.Taken.class, table.claim("k", 1, 6));
     }
 
     @Test
-    void keepsRunningKeysAndForgetsOldOnes() {
+    void keepsRunningKeysAndExpiresSettledOnes() {
         table.claim("running", 1, 0);
         table.claim("settled", 1, 0);
         table.settle("settled", ANSWER, 0);
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsRotationTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsRotationTest.java
@@ -7,7 +7,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-/** Tests {@link SeenCalls} while a generation begins. */
+/** Tests concurrent claims in {@link SeenCalls} while a generation begins. */
 public class SeenCallsRotationTest {
     private static final CallId ID = new CallId(1, 1);
 
@@ -23,7 +23,7 @@
         shared.rotate(() -> 0);
     }
 
-    /** A call that arrives and a question about it, on two threads, while the sweep runs on a third. */
+    /** A call that arrives and an inquiry about it claim one id on two threads, while the sweep runs on a third. */
     @Test
     public void exactlyOneClaimSucceedsWhileAGenerationBegins() {
         new ModelCheckingOptions()
@@ -36,9 +36,9 @@
                 .check(SeenCallsRotationTest.class);
     }
 
-    /** An id arrives at 101, right before the generation that begins takes ids; the clock is read after that. */
+    /** An id arrives at 101, just before the new generation records ids; the clock is read after that, at 102. */
     @Test
-    public void reachesBackNoFurtherThanTheFirstIdOfTheGeneration() {
+    public void coversNoTimeBeforeTheGenerationTookIds() {
         SeenCalls seen = SeenCalls.startingAt(0);
         seen.claim(ID);
         seen.rotate(() -> 102);
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void reachesBackAsFarAsItKeepsIds() {
+    public void coversTheTimeSinceItsOldestGenerationBegan() {
         SeenCalls seen = SeenCalls.startingAt(10);
         assertFalse(seen.reachesBackTo(9));
         assertTrue(seen.reachesBackTo(10));
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -22,12 +22,11 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 /**
- * Tests {@link KeyOwners} when a former owner of a key is asked.
+ * Tests queries of {@link KeyOwners} to a former owner of a key.
  *
- * <p>A former owner that never saw a key gives it up and says so, and the new owner runs it. A former owner that
- * crashed and started again at the same address says the same of every key, since it has forgotten all of them: the
- * same mistake as sealing an attempt that only the process before had seen. So a question names the start that it is
- * for.
+ * <p>Guards against a key running twice: a former owner that never saw a key seals it and says so, and the new owner
+ * runs it. A former owner that crashed and restarted at the same address would say so of every key, since its table is
+ * empty. Therefore a query names the upstream id that it is for, which changes at each restart.
  */
 final class KeyOwnersTest {
     private static final long SECOND = 1_000_000_000L;
@@ -49,23 +48,23 @@
 
     @Test
     void runsAKeyThatTheLeavingOwnerNeverSaw() {
-        claimAsking(upstream(leaving));
+        claimAfterQuerying(upstream(leaving));
         assertInstanceOf(KeyClaims.Outcome.Owned.class, outcome.get());
     }
 
     @Test
-    void doesNotRunAKeyWhenTheLeavingOwnerHasStartedAnew() {
-        claimAsking(upstream(record("b", 2)));
+    void doesNotRunAKeyWhenTheLeavingOwnerHasRestarted() {
+        claimAfterQuerying(upstream(record("b", 2)));
         assertEquals(new KeyClaims.Outcome.Uncertain(), outcome.get());
     }
 
-    private void claimAsking(LocalUpstream asked) {
+    private void claimAfterQuerying(LocalUpstream formerOwner) {
         KeyOwners answering = owners(MemberTable.empty());
         RecordingLink there = new RecordingLink();
         RecordingLink back = new RecordingLink();
-        asking.connectThrough((endpoint, taker) -> taker.accept(Optional.of(there)));
+        asking.connectThrough((endpoint, callback) -> callback.accept(Optional.of(there)));
         asking.claim(owner, KEY, 1, outcome::set);
-        there.sent().forEach(m -> answering.received(back, m, Optional.of(asked)));
+        there.sent().forEach(m -> answering.received(back, m, Optional.of(formerOwner)));
         back.sent().forEach(m -> asking.received(back, m, Optional.of(owner)));
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -29,7 +29,7 @@
     private static final long SECOND = 1_000_000_000L;
     private static final long RETENTION = 120 * SECOND;
     private static final Place PLACE = new Place("r", "d");
-    private static final Endpoint END = new Endpoint("10.0.0.1", 1);
+    private static final Endpoint ENDPOINT = new Endpoint("10.0.0.1", 1);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
     private final MemberTable table = MemberTable.empty();
@@ -43,22 +43,22 @@
         String key = keyNow();
         boolean aFirst = Rendezvous.hash(a.id(), key) > Rendezvous.hash(b.id(), key);
         assertInstanceOf(Ownership.Owned.class, view.of(aFirst ? a : b, key));
-        assertInstanceOf(Ownership.Elsewhere.class, view.of(aFirst ? b : a, key));
+        assertInstanceOf(Ownership.OwnedElsewhere.class, view.of(aFirst ? b : a, key));
     }
 
     @Test
-    void needsTheNextInRankToVouchWhileNew() {
+    void needsTheNextInRankToVouchForKeysWhileNew() {
         LocalUpstream a = member("a", 1);
         LocalUpstream b = member("b", 1);
         clock.advance(5 * SECOND);
         String key = keyOwnedBy(a, b);
-        assertEquals(Optional.of(b.id()), voucher(view.of(a, key)));
+        assertEquals(Optional.of(b.id()), predecessor(view.of(a, key)));
         clock.advance(2 * RETENTION);
-        assertEquals(Optional.empty(), voucher(view.of(a, key)));
+        assertEquals(Optional.empty(), predecessor(view.of(a, key)));
     }
 
     @Test
-    void doubtsKeysOlderThanTheDeathOfAnotherOwner() {
+    void keysOlderThanTheDeathOfAnotherOwnerAreUncertain() {
         LocalUpstream a = member("a", 1);
         member("b", 1);
         clock.advance(2 * RETENTION);
@@ -74,13 +74,13 @@
     }
 
     @Test
-    void trustsAPlannedStopThatHandedItsKeysOn() {
+    void trustsAPlannedStopThatTransferredItsKeys() {
         LocalUpstream a = member("a", 1);
         MemberRecord b = record("b", 1);
         table.merge(b, clock.nanos());
         clock.advance(2 * RETENTION);
         String before = keyNow();
-        view.handedOn(b.upstreamId());
+        view.keysTransferred(b.upstreamId());
         table.merge(b.in(MemberState.LEFT, clock.wallMillis()), clock.nanos());
         assertInstanceOf(Ownership.Owned.class, view.of(a, before));
     }
@@ -91,21 +91,21 @@
         LocalUpstream b = member("b", 1);
         clock.advance(2 * RETENTION);
         String key = keyOwnedBy(b, a);
-        assertTrue(view.unsure(a, "a-newcomer", key));
-        assertFalse(view.unsure(a, b.id(), key));
+        assertTrue(view.mayHaveRunElsewhere(a, "a-newcomer", key));
+        assertFalse(view.mayHaveRunElsewhere(a, b.id(), key));
     }
 
     @Test
-    void asksAnUpstreamThatDrains() {
+    void queriesADrainingUpstream() {
         LocalUpstream a = member("a", 1);
         MemberRecord b = record("b", 1);
         table.merge(b.in(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
         clock.advance(2 * RETENTION);
-        assertEquals(1, ((Ownership.Owned) view.of(a, keyNow())).askFirst().size());
+        assertEquals(1, ((Ownership.Owned) view.of(a, keyNow())).formerOwners().size());
     }
 
-    private static Optional<String> voucher(Ownership ownership) {
-        return ((Ownership.Owned) ownership).voucher().map(Upstream::id);
+    private static Optional<String> predecessor(Ownership ownership) {
+        return ((Ownership.Owned) ownership).predecessor().map(Upstream::id);
     }
 
     private LocalUpstream member(String name, long incarnation) {
@@ -116,7 +116,7 @@
     }
 
     private static MemberRecord record(String name, long incarnation) {
-        return new MemberRecord(name, incarnation, 0, MemberState.ALIVE, END, END, PLACE, "s", 0, 0);
+        return new MemberRecord(name, incarnation, 0, MemberState.ALIVE, ENDPOINT, ENDPOINT, PLACE, "s", 0, 0);
     }
 
     private String keyOwnedBy(LocalUpstream owner, LocalUpstream other) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
@@ -18,7 +18,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests what a former owner vouches for to a newcomer that may not know all members yet. */
+/** Tests which keys a former owner vouches for to a newcomer that may not know all members yet. */
 final class VouchingTest {
     private static final long RETENTION = 120_000_000_000L;
     private static final String NEWCOMER = "newcomer@1.0";
@@ -27,9 +27,9 @@
     private final MemberTable table = MemberTable.empty();
     private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.keeping(RETENTION), r -> false);
 
-    /** The one that leaves owned the key until now; the newcomer has not heard of it and so does not ask it. */
+    /** The draining upstream owned the key until now; the newcomer does not know of it and so does not query it. */
     @Test
-    void doesNotVouchForAnUpstreamThatIsAboutToLeave() {
+    void doesNotVouchForADrainingUpstream() {
         MemberRecord here = record("here");
         MemberRecord leaving = record("leaving");
         table.merge(here, clock.nanos());
@@ -48,7 +48,7 @@
                 .filter(k -> rank(leaving.upstreamId(), k) > rank(NEWCOMER, k))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(view.unsure(local, NEWCOMER, key));
+        assertTrue(view.mayHaveRunElsewhere(local, NEWCOMER, key));
     }
 
     private static long rank(String upstream, String key) {
