--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -6,23 +6,24 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * An upstream together with what this node has seen of it. Survives the tables it stands in; safe for many threads.
+ * An upstream with the statistics that this node collected about it. The router keeps the candidate when it replaces
+ * its table. Thread-safe.
  */
 public final class Candidate {
     private static final double SMOOTHING = 0.2;
     private static final double ERROR_WEIGHT = 10;
 
-    /** How much a filled upstream counts as slower than an empty one, before calls wait. */
-    private static final double FILLING_WEIGHT = 1.5;
+    /** How much slower a fully utilised upstream is assumed to be than an idle one, before calls queue. */
+    private static final double UTILISATION_WEIGHT = 1.5;
 
-    /** How much each call that waits counts, as a share of the places. */
-    private static final double WAITING_WEIGHT = 4;
+    /** How much slower each queued call makes the upstream, where queued calls count as a share of the limit. */
+    private static final double QUEUEING_WEIGHT = 4;
 
-    /** What another data centre costs: a round trip between two that are near each other. */
-    private static final double AWAY_NANOS = 3_000_000;
+    /** Latency added for another data centre: a round trip between two neighbouring ones. */
+    private static final double REMOTE_NANOS = 3_000_000;
 
-    /** What it costs besides, as a share of the latency: bytes between data centres are paid for. */
-    private static final double AWAY_SHARE = 0.05;
+    /** Further penalty for another data centre, as a share of the latency: traffic between data centres is charged. */
+    private static final double REMOTE_SHARE = 0.05;
 
     private static final int EJECT_AFTER = 5;
     private static final double EJECT_ERROR_RATE = 0.5;
@@ -31,22 +32,22 @@
     private static final int EJECTION_DOUBLINGS = 4;
 
     /**
-     * How long a shed call counts in full when none was shed since, in nanoseconds. Load pattern: an upstream that
-     * sheds part of its calls is avoided, and then gives no news by which to tell that its trouble is over. One that
-     * failed is not tried again so soon: a call that fails costs more than one that was never run.
+     * How long a shed call counts in full if no further call is shed, in nanoseconds. Load pattern: an upstream that
+     * sheds part of its calls gets fewer calls, and then sends no reports that would show its recovery. An upstream
+     * that failed is not tried again as soon: a failed call costs more than one that never ran.
      */
-    private static final long FADE_NANOS = 250_000_000L;
+    private static final long SHED_DECAY_NANOS = 250_000_000L;
 
-    /** What is left of the shed rate after each such time: a fifth after two seconds, so that it is tried again. */
-    private static final double FADE_SHARE = 0.8;
+    /** Factor applied to the shed rate after each such time: a fifth is left after two seconds, so it is retried. */
+    private static final double SHED_DECAY_FACTOR = 0.8;
 
     private final Upstream upstream;
-    private final boolean near;
+    private final boolean local;
     private final AtomicInteger sentSinceReport = new AtomicInteger();
     private final AtomicInteger inFlight = new AtomicInteger();
-    private final AtomicInteger failuresInRow = new AtomicInteger();
+    private final AtomicInteger consecutiveFailures = new AtomicInteger();
     private final ServiceLevels levels;
-    private volatile SeenLevel level = SeenLevel.NONE;
+    private volatile ReportedLevel level = ReportedLevel.NONE;
     private volatile double latencyNanos;
     private volatile double errorRate;
     private volatile double reportedLoad = -1;
@@ -57,26 +58,26 @@
     private volatile double shedRate;
     private volatile long shedNanos;
 
-    private Candidate(Upstream upstream, boolean near, ServiceLevels levels) {
+    private Candidate(Upstream upstream, boolean local, ServiceLevels levels) {
         this.upstream = upstream;
-        this.near = near;
+        this.local = local;
         this.levels = levels;
     }
 
     /**
-     * Creates a candidate of which nothing was seen yet.
+     * Creates a candidate without statistics.
      *
      * @param upstream the upstream
-     * @param near whether it stands in the data centre of this node
+     * @param local whether it is in the data centre of this node
      * @return the candidate
      */
-    public static Candidate of(Upstream upstream, boolean near) {
-        return new Candidate(upstream, near, ServiceLevels.unknown());
+    public static Candidate of(Upstream upstream, boolean local) {
+        return new Candidate(upstream, local, ServiceLevels.unknown());
     }
 
-    /** Creates a candidate that passes on what its node reports of the levels of services. */
-    static Candidate telling(Upstream upstream, boolean near, ServiceLevels levels) {
-        return new Candidate(upstream, near, levels);
+    /** Creates a candidate that adds the admission levels reported by its node to the given levels. */
+    static Candidate withLevels(Upstream upstream, boolean local, ServiceLevels levels) {
+        return new Candidate(upstream, local, levels);
     }
 
     /**
@@ -89,61 +90,62 @@
     }
 
     /**
-     * Tells whether the upstream stands in the data centre of this node.
+     * Returns whether the upstream is in the data centre of this node.
      *
-     * @return whether it does
+     * @return whether it is
      */
-    public boolean near() {
-        return near;
+    public boolean local() {
+        return local;
     }
 
-    /** Notes that a call is sent. */
+    /** Records that a call is sent. */
     public void sent() {
         sentSinceReport.incrementAndGet();
         inFlight.incrementAndGet();
     }
 
-    /** Notes that a sent call has ended, however. */
+    /** Records that a sent call has ended, with any outcome. */
     public void ended() {
         inFlight.decrementAndGet();
     }
 
     /**
-     * Notes a success.
+     * Records a success.
      *
-     * @param latency from sending to the head of the answer, in nanoseconds
+     * @param latency the time from sending to the head of the answer, in nanoseconds
      */
     public void succeeded(long latency) {
         double seen = latencyNanos;
         latencyNanos = seen == 0 ? latency : seen + SMOOTHING * (latency - seen);
         errorRate *= 1 - ERROR_SMOOTHING;
         shedRate *= 1 - ERROR_SMOOTHING;
-        failuresInRow.set(0);
+        consecutiveFailures.set(0);
         ejections = 0;
     }
 
     /**
-     * Notes a failure of the upstream or of its node.
+     * Records a failure of the upstream or of its node.
      *
      * @param nowNanos the time
-     * @return whether the failure took the upstream out of the choice
+     * @return whether the failure ejected the upstream
      */
     public boolean failed(long nowNanos) {
         errorRate += ERROR_SMOOTHING * (1 - errorRate);
-        int row = failuresInRow.incrementAndGet();
+        int row = consecutiveFailures.incrementAndGet();
         if (ejected(nowNanos) || row < EJECT_AFTER && errorRate < EJECT_ERROR_RATE) {
             return false;
         }
         ejectedUntil = nowNanos + (FIRST_EJECTION_NANOS << Math.min(ejections, EJECTION_DOUBLINGS));
         ejections++;
-        failuresInRow.set(EJECT_AFTER - 1);
+        consecutiveFailures.set(EJECT_AFTER - 1);
         errorRate = EJECT_ERROR_RATE / 2;
         return true;
     }
 
     /**
-     * Notes that the upstream shed a call on its own: it is less attractive, but not broken. What it sheds takes no
-     * time there, so that it looks idle and would else draw the more calls the more it sheds.
+     * Records that the upstream itself shed a call: it becomes less attractive, but does not count as broken. Shed
+     * calls take no time at the upstream, so that without this it would look idle and attract more calls the more it
+     * sheds.
      *
      * @param nowNanos the time
      */
@@ -153,21 +155,21 @@
     }
 
     /**
-     * Lets old sheds count less.
+     * Decays the shed rate when no call was shed for a while.
      *
      * @param nowNanos the time
      */
-    public void fade(long nowNanos) {
-        if (shedRate > 0 && nowNanos - shedNanos >= FADE_NANOS) {
-            shedRate *= FADE_SHARE;
+    public void decayShedRate(long nowNanos) {
+        if (shedRate > 0 && nowNanos - shedNanos >= SHED_DECAY_NANOS) {
+            shedRate *= SHED_DECAY_FACTOR;
             shedNanos = nowNanos;
         }
     }
 
     /**
-     * Takes a node's report about itself and the path below it.
+     * Handles a report of the upstream's node about its load and about the services deeper in the call chain.
      *
-     * @param pathClass the class of the call that brought it
+     * @param pathClass the class of the call whose answer carried the report
      * @param report the report
      * @param nowNanos the time
      */
@@ -176,23 +178,23 @@
         sentSinceReport.set(0);
         reportedLimit = report.limit();
         draining |= report.draining();
-        level = new SeenLevel(report.directLevel(), nowNanos);
-        levels.heard(upstream, pathClass, report, nowNanos);
+        level = new ReportedLevel(report.directLevel(), nowNanos);
+        levels.received(upstream, pathClass, report, nowNanos);
     }
 
     /**
-     * Returns the admission level that the upstream's node reported of itself, for requests that come to it from
-     * callers; it fades when no news comes.
+     * Returns the admission level that the upstream's node reported for direct requests of callers. The level decays
+     * when no further report arrives.
      *
      * @param nowNanos the time
      * @return the rank below which a call would be refused
      */
     public int level(long nowNanos) {
-        return level.faded(nowNanos);
+        return level.decayed(nowNanos);
     }
 
     /**
-     * Returns the share of its concurrency limit that the upstream had in use when it was heard last.
+     * Returns the share of its concurrency limit that the upstream had in use at its last report.
      *
      * @return the share, from 0; empty before the first report
      */
@@ -200,22 +202,22 @@
         return reportedLoad < 0 ? Optional.empty() : Optional.of(reportedLoad);
     }
 
-    /** Notes that the upstream is leaving. */
+    /** Records that the upstream is draining. */
     public void drain() {
         draining = true;
     }
 
     /**
-     * Tells whether the upstream may get new work.
+     * Returns whether the upstream may get new work.
      *
-     * @return false when it is leaving
+     * @return false when it is draining
      */
     public boolean accepting() {
         return !draining;
     }
 
     /**
-     * Tells whether the upstream is out of the choice for a while.
+     * Returns whether the upstream is temporarily excluded from routing.
      *
      * @param nowNanos the time
      * @return whether it is ejected
@@ -225,19 +227,19 @@
     }
 
     /**
-     * Returns the load, for comparing candidates; smaller is better.
+     * Returns a load score for comparing candidates; lower is better.
      *
-     * @return the load, of no unit
+     * @return the score, without a unit
      */
     public double score() {
-        double waiting = inFlight.get() + 1.0;
-        return waiting * (1 + Math.max(0, reportedLoad)) * penalty() * Math.max(1, Math.sqrt(latencyNanos));
+        double outstanding = inFlight.get() + 1.0;
+        return outstanding * (1 + Math.max(0, reportedLoad)) * penalty() * Math.max(1, Math.sqrt(latencyNanos));
     }
 
     /**
-     * Returns the share of its places that the upstream has taken, with what was sent since it said so.
+     * Returns the share of the upstream's concurrency limit in use: its last report plus the calls sent since.
      *
-     * @return the share, from 0; above 1 when calls wait
+     * @return the share, from 0; above 1 when calls queue
      */
     public double utilisation() {
         int limit = reportedLimit;
@@ -248,30 +250,30 @@
     }
 
     /**
-     * Returns the smoothed latency of its answers.
+     * Returns the smoothed latency of the upstream's answers.
      *
-     * @return nanoseconds, 0 when none was seen
+     * @return the latency in nanoseconds, 0 before the first answer
      */
     public double latencyNanos() {
         return latencyNanos;
     }
 
     /**
-     * Returns when a call sent now is expected to be answered: the latency seen, more as the upstream fills up, more
-     * when it fails, and a little more when it stands in another data centre.
+     * Returns the expected latency of a call sent now: the observed latency, scaled up with the upstream's utilisation
+     * and failures, plus a penalty when the upstream is in another data centre.
      *
-     * @param typicalNanos the latency that stands in while none was seen
-     * @return the time from now, in nanoseconds
+     * @param typicalNanos the latency to assume while none was observed
+     * @return the expected latency, in nanoseconds
      */
     public double expectedNanos(double typicalNanos) {
         double u = utilisation();
-        double filling = 1 + FILLING_WEIGHT * u * u * u + WAITING_WEIGHT * Math.max(0, u - 1);
+        double slowdown = 1 + UTILISATION_WEIGHT * u * u * u + QUEUEING_WEIGHT * Math.max(0, u - 1);
         double seen = latencyNanos == 0 ? typicalNanos : latencyNanos;
-        double away = near ? 0 : AWAY_NANOS + seen * AWAY_SHARE;
-        return seen * filling * penalty() + away;
+        double remote = local ? 0 : REMOTE_NANOS + seen * REMOTE_SHARE;
+        return seen * slowdown * penalty() + remote;
     }
 
-    /** How much less attractive its failures and sheds make the upstream, as a factor of at least 1. */
+    /** Returns the factor, at least 1, by which recent failures and sheds make the upstream less attractive. */
     private double penalty() {
         return 1 + ERROR_WEIGHT * (errorRate + shedRate);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.routing;
 
 /**
- * What came of routing a call.
+ * The result of routing a call.
  */
 public sealed interface Choice {
     /**
@@ -12,12 +12,12 @@
     record To(Candidate candidate) implements Choice {}
 
     /**
-     * Every upstream, or the path below, would refuse the call.
+     * Every upstream would refuse the call, or a service deeper in the call chain would.
      *
-     * @param level the lowest level among them
+     * @param level the lowest admission level among the upstreams
      */
     record Shed(int level) implements Choice {}
 
-    /** No upstream may take the call. */
+    /** No upstream is available for the call. */
     record Nowhere() implements Choice {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Chooser.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Chooser.java
@@ -5,16 +5,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses one of several fit candidates.
+ * Chooses an upstream among the candidates that may take a call.
  */
 @FunctionalInterface
 public interface Chooser {
     /**
-     * Chooses.
+     * Chooses a candidate.
      *
      * @param fit the candidates
-     * @param random where randomness comes from
-     * @return the choice, empty only when there are no candidates
+     * @param random the source of randomness
+     * @return the chosen candidate, empty only when there are no candidates
      */
     Optional<Candidate> choose(List<Candidate> fit, RandomGenerator random);
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ChooserProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ChooserProvider.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.routing;
 
 /**
- * A plug-in that makes choosers; it registers itself through {@link java.util.ServiceLoader}.
+ * A plug-in that creates choosers, registered through {@link java.util.ServiceLoader}.
  */
 public interface ChooserProvider {
     /**
@@ -12,9 +12,9 @@
     String name();
 
     /**
-     * Makes a chooser.
+     * Creates a chooser.
      *
-     * @return the chooser, safe for many threads
+     * @return the chooser, which must be thread-safe
      */
     Chooser create();
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Endpoint.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Endpoint.java
@@ -1,9 +1,9 @@
 package org.verbenadyke.kernel.routing;
 
 /**
- * Where a node listens.
+ * The address on which a node listens.
  *
- * @param host the IP number
+ * @param host the IP address
  * @param port the port
  */
 public record Endpoint(String host, int port) {
@@ -12,7 +12,7 @@
         return host + ":" + port;
     }
 
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Endpoint o && host.equals(o.host) && port == o.port;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
@@ -5,13 +5,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Registers {@code expected-finish}: of two candidates drawn by their spare room, the one that is expected to answer
- * first.
+ * Provides the chooser {@code expected-finish}: draws two candidates, weighted by spare capacity, and chooses the one
+ * with the lower expected latency.
  *
- * <p>Load pattern: upstreams of one service differ in speed, and many nodes choose at once from reports that are some
- * milliseconds old. The draw by spare room keeps them from all choosing the same one between two reports; the
- * comparison keeps slow and filled ones for when the others are filled too. Where an upstream of the own data centre
- * answers about as soon, it gets the call, see {@link NearFirst}.
+ * <p>Load pattern: upstreams of one service differ in speed, and many nodes choose concurrently from reports that are
+ * some milliseconds old. The weighted draw keeps the nodes from all choosing the same upstream between two reports; the
+ * comparison avoids slow and highly utilised upstreams until the others are highly utilised too. An upstream in the
+ * node's own data centre is preferred if its expected latency is about the same, see {@link LocalityPreference}.
  */
 public final class ExpectedFinishProvider implements ChooserProvider {
     @Override
@@ -32,13 +32,13 @@
             return Optional.of(fit.get(0));
         }
         double typical = typical(fit);
-        Candidate a = SpareRoom.draw(fit, random);
-        Candidate b = SpareRoom.drawOther(fit, a, random);
-        Candidate sooner = a.expectedNanos(typical) <= b.expectedNanos(typical) ? a : b;
-        return Optional.of(NearFirst.instead(sooner, fit, typical, random));
+        Candidate a = SpareCapacity.draw(fit, random);
+        Candidate b = SpareCapacity.drawOther(fit, a, random);
+        Candidate faster = a.expectedNanos(typical) <= b.expectedNanos(typical) ? a : b;
+        return Optional.of(LocalityPreference.preferLocal(faster, fit, typical, random));
     }
 
-    /** The mean latency of those that are known, which stands in for those that are not. */
+    /** Returns the mean of the known latencies, which is assumed for candidates without one. */
     private static double typical(List<Candidate> fit) {
         double sum = 0;
         int known = 0;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Place.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Place.java
@@ -1,13 +1,13 @@
 package org.verbenadyke.kernel.routing;
 
 /**
- * Where a server stands.
+ * The location of a server.
  *
  * @param region the region
  * @param dataCentre the data centre
  */
 public record Place(String region, String dataCentre) {
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Place o && region.equals(o.region) && dataCentre.equals(o.dataCentre);
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Rendezvous.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Rendezvous.java
@@ -7,8 +7,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Rendezvous hashing: every node ranks the same names in the same order, and a name that comes or goes moves only what
- * is its own.
+ * Rendezvous hashing: every node ranks the same names in the same order, and adding or removing a name moves only the
+ * keys that this name owns.
  */
 public final class Rendezvous {
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -26,9 +26,9 @@
     /**
      * Hashes a pair of names.
      *
-     * @param name the one that is ranked
-     * @param key the one it is ranked for
-     * @return 64 evenly spread bits
+     * @param name the name to rank
+     * @param key the key it is ranked for
+     * @return a 64-bit hash with evenly distributed bits
      */
     public static long hash(String name, String key) {
         long h = OFFSET_BASIS;
@@ -59,10 +59,10 @@
      * Chooses a weighted subset.
      *
      * @param upstreams the upstreams to choose from
-     * @param chooser the name of the one who chooses
-     * @param weight the weight of each, above 0; one of twice the weight is chosen about twice as often
-     * @param size how many to choose
-     * @return the chosen ones, the same for the same arguments
+     * @param chooser the name of the node that chooses
+     * @param weight the weight of an upstream, above 0; one with twice the weight is chosen about twice as often
+     * @param size how many upstreams to choose
+     * @return the chosen upstreams; the same arguments give the same result
      */
     public static List<Upstream> subset(
             Collection<Upstream> upstreams, String chooser, ToDoubleFunction<Upstream> weight, int size) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/RoundRobinProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/RoundRobinProvider.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Registers taking turns as {@code round-robin}; it looks at no load and serves as the baseline.
+ * Provides the chooser {@code round-robin}, which ignores load and serves as the baseline.
  */
 public final class RoundRobinProvider implements ChooserProvider {
     @Override
@@ -14,9 +14,9 @@
 
     @Override
     public Chooser create() {
-        AtomicInteger turn = new AtomicInteger();
+        AtomicInteger next = new AtomicInteger();
         return (fit, random) -> fit.isEmpty()
                 ? Optional.empty()
-                : Optional.of(fit.get(Math.floorMod(turn.getAndIncrement(), fit.size())));
+                : Optional.of(fit.get(Math.floorMod(next.getAndIncrement(), fit.size())));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -17,7 +17,7 @@
  * Chooses the upstream of each call from an immutable table that is replaced as a whole when the membership changes.
  */
 public final class Router {
-    private static final double LEAST_FIT_SHARE = 0.5;
+    private static final double MIN_FIT_SHARE = 0.5;
     private static final double WEIGHT_SAME_DATA_CENTRE = 4;
     private static final double WEIGHT_SAME_REGION = 1;
     private static final double WEIGHT_ELSEWHERE = 0.05;
@@ -49,11 +49,11 @@
     /**
      * Creates a router that knows no upstreams.
      *
-     * @param self the name of this node, by which its subset is drawn
-     * @param place where this node stands
-     * @param subsetSize how many upstreams of a service it uses at most
-     * @param chooser how it chooses among fit candidates
-     * @param random where each thread's randomness comes from
+     * @param self the name of this node, which determines its subset of the upstreams
+     * @param place the location of this node
+     * @param subsetSize the maximum number of upstreams used for a service
+     * @param chooser chooses among the candidates that may take a call
+     * @param random supplies each thread's random generator
      * @param sheds whether calls are refused early by the reported admission levels, and failing upstreams ejected
      * @return the router
      */
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Replaces the upstreams. What was seen of those that stay is kept.
+     * Replaces the upstreams. Statistics of upstreams that stay are retained.
      *
      * @param upstreams all upstreams that may get new work
      */
@@ -86,7 +86,7 @@
      *
      * @param query the call
      * @param nowNanos the time
-     * @return where it goes
+     * @return the chosen upstream, or the reason why there is none
      */
     public Choice route(RouteQuery query, long nowNanos) {
         Routes routes = table.get().get(query.service());
@@ -94,7 +94,7 @@
             return new Choice.Nowhere();
         }
         if (!query.key().isEmpty()) {
-            return toOwner(routes, query, nowNanos);
+            return routeToOwner(routes, query, nowNanos);
         }
         List<Candidate> accepting = accepting(routes.subset, query);
         if (accepting.isEmpty()) {
@@ -104,15 +104,15 @@
             return new Choice.Nowhere();
         }
         if (!sheds) {
-            return chosen(accepting);
+            return choose(accepting);
         }
-        return amongFit(fit(accepting, nowNanos), query, nowNanos);
+        return routeAmongFit(fit(accepting, nowNanos), query, nowNanos);
     }
 
     /**
-     * Returns what is known.
+     * Returns all candidates.
      *
-     * @return every candidate
+     * @return the candidates of all services
      */
     public List<Candidate> candidates() {
         return table.get().values().stream()
@@ -121,7 +121,7 @@
     }
 
     /**
-     * Returns what was heard of the levels of services.
+     * Returns the admission levels of services that other nodes reported.
      *
      * @return the levels
      */
@@ -129,7 +129,7 @@
         return levels;
     }
 
-    private Choice toOwner(Routes routes, RouteQuery query, long now) {
+    private Choice routeToOwner(Routes routes, RouteQuery query, long now) {
         List<String> ids = routes.all.values().stream()
                 .filter(Candidate::accepting)
                 .map(c -> c.upstream().id())
@@ -138,28 +138,28 @@
         if (owner.isEmpty()) {
             return new Choice.Nowhere();
         }
-        int level = Math.max(owner.get().level(now), levels.below(query.service(), query.pathClass(), now));
+        int level = Math.max(owner.get().level(now), levels.deeperLevel(query.service(), query.pathClass(), now));
         if (sheds && query.rank() < level) {
             return new Choice.Shed(level);
         }
         return new Choice.To(owner.get());
     }
 
-    private Choice amongFit(List<Candidate> fit, RouteQuery query, long now) {
+    private Choice routeAmongFit(List<Candidate> fit, RouteQuery query, long now) {
         int lowest = Integer.MAX_VALUE;
-        int below = levels.below(query.service(), query.pathClass(), now);
-        List<Candidate> open = new ArrayList<>(fit.size());
+        int deeper = levels.deeperLevel(query.service(), query.pathClass(), now);
+        List<Candidate> admitting = new ArrayList<>(fit.size());
         for (Candidate c : fit) {
-            int level = Math.max(c.level(now), below);
+            int level = Math.max(c.level(now), deeper);
             lowest = Math.min(lowest, level);
             if (query.rank() >= level) {
-                open.add(c);
+                admitting.add(c);
             }
         }
-        return open.isEmpty() ? new Choice.Shed(lowest) : chosen(open);
+        return admitting.isEmpty() ? new Choice.Shed(lowest) : choose(admitting);
     }
 
-    private Choice chosen(List<Candidate> candidates) {
+    private Choice choose(List<Candidate> candidates) {
         return chooser.choose(candidates, random.get())
                 .<Choice>map(Choice.To::new)
                 .orElseGet(Choice.Nowhere::new);
@@ -167,28 +167,28 @@
 
     private static List<Candidate> accepting(List<Candidate> candidates, RouteQuery query) {
         List<Candidate> accepting = new ArrayList<>(candidates.size());
-        List<Candidate> fresh = new ArrayList<>(candidates.size());
+        List<Candidate> untried = new ArrayList<>(candidates.size());
         for (Candidate c : candidates) {
             if (!c.accepting()) {
                 continue;
             }
             accepting.add(c);
             if (!query.avoid().contains(c.upstream().id())) {
-                fresh.add(c);
+                untried.add(c);
             }
         }
-        return fresh.isEmpty() ? accepting : fresh;
+        return untried.isEmpty() ? accepting : untried;
     }
 
     private static List<Candidate> fit(List<Candidate> accepting, long now) {
         List<Candidate> fit = new ArrayList<>(accepting.size());
         for (Candidate c : accepting) {
-            c.fade(now);
+            c.decayShedRate(now);
             if (!c.ejected(now)) {
                 fit.add(c);
             }
         }
-        return fit.size() < accepting.size() * LEAST_FIT_SHARE ? accepting : fit;
+        return fit.size() < accepting.size() * MIN_FIT_SHARE ? accepting : fit;
     }
 
     private Routes routes(List<Upstream> upstreams, Routes before) {
@@ -199,7 +199,7 @@
                     u.id(),
                     known != null && known.upstream().equals(u)
                             ? known
-                            : Candidate.telling(u, u.place().equals(place), levels));
+                            : Candidate.withLevels(u, u.place().equals(place), levels));
         }
         List<Candidate> subset = Rendezvous.subset(upstreams, self, this::weight, subsetSize).stream()
                 .map(u -> all.get(u.id()))
@@ -217,8 +217,8 @@
     /**
      * The upstreams of one service.
      *
-     * @param all every one, by id
-     * @param subset those that calls go to
+     * @param all all upstreams by id
+     * @param subset the upstreams that this node sends calls to
      */
     private record Routes(Map<String, Candidate> all, List<Candidate> subset) {
         private static final Routes NONE = new Routes(Map.of(), List.of());
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
@@ -8,31 +8,31 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * What a node knows of the admission levels of services, its own upstreams' and those further down, from every answer
- * that passes it. Safe for many threads.
+ * The admission levels of services that a node learned from the answers it received: of the services it calls directly
+ * and of those deeper in the call chain. Thread-safe.
  *
- * <p>Load pattern: many nodes, each with few requests of its own to many upstreams. What one upstream's answers tell of
- * one kind of request is then older than the load itself when the next such request comes, and every upstream not heard
- * of lately looks open. So levels are kept by the service whose upstreams set them, and whoever hears of it tells it on
- * with its age; for a kind of request only the names of the services that it leads to are kept.
+ * <p>Load pattern: many nodes, each sending few requests to many upstreams. If levels were stored by upstream and class
+ * of call, a level would be outdated by the time the next such call is sent, and every upstream without a recent report
+ * would look as if it refused nothing. Therefore levels are stored by the service whose upstreams set them, and each
+ * node passes them on with their age. For a class of calls only the names of the services that it leads to are stored.
  */
 public final class ServiceLevels {
-    /** How long an upstream's word on its own level counts beside those of the others of its service. */
-    private static final long TOGETHER_NANOS = 250_000_000L;
+    /** How long a level reported by one upstream is combined with those of the other upstreams of its service. */
+    private static final long AGGREGATION_NANOS = 250_000_000L;
 
     private static final long MILLI = 1_000_000L;
 
-    /** The age from which on a word no longer counts at all. */
-    private static final long AGE_MOST_MILLIS = 60_000;
+    /** Maximum age that is reported; an older level no longer counts at all. */
+    private static final long MAX_AGE_MILLIS = 60_000;
 
-    private final Map<String, Map<String, SeenLevel>> upstreams = new ConcurrentHashMap<>();
-    private final Map<String, SeenLevel> services = new ConcurrentHashMap<>();
-    private final Map<String, Set<String>> below = new ConcurrentHashMap<>();
+    private final Map<String, Map<String, ReportedLevel>> upstreams = new ConcurrentHashMap<>();
+    private final Map<String, ReportedLevel> services = new ConcurrentHashMap<>();
+    private final Map<String, Set<String>> deeperServices = new ConcurrentHashMap<>();
 
     private ServiceLevels() {}
 
     /**
-     * Creates one that has heard nothing.
+     * Creates an instance without any levels.
      *
      * @return the levels
      */
@@ -41,75 +41,77 @@
     }
 
     /**
-     * Takes an answer of an upstream.
+     * Handles the report that came with an answer of an upstream.
      *
      * @param upstream the upstream
-     * @param pathClass the class of the call that it answered
-     * @param report what its node reports
+     * @param pathClass the class of the answered call
+     * @param report the report of the upstream's node
      * @param nowNanos the time
      */
-    void heard(Upstream upstream, String pathClass, Message.Report report, long nowNanos) {
-        services.put(upstream.service(), lowest(upstream, report.level(), nowNanos));
-        Message.Below told = report.below();
-        if (told.service().isEmpty()) {
+    void received(Upstream upstream, String pathClass, Message.Report report, long nowNanos) {
+        services.put(upstream.service(), lowestRecent(upstream, report.level(), nowNanos));
+        Message.Below deeper = report.below();
+        if (deeper.service().isEmpty()) {
             return;
         }
-        below.computeIfAbsent(upstream.service() + " " + pathClass, p -> ConcurrentHashMap.newKeySet())
-                .add(told.service());
-        SeenLevel seen = new SeenLevel(told.level(), nowNanos - Math.max(0, told.ageMillis()) * MILLI);
-        services.merge(told.service(), seen, SeenLevel::newer);
+        deeperServices
+                .computeIfAbsent(upstream.service() + " " + pathClass, p -> ConcurrentHashMap.newKeySet())
+                .add(deeper.service());
+        ReportedLevel seen = new ReportedLevel(deeper.level(), nowNanos - Math.max(0, deeper.ageMillis()) * MILLI);
+        services.merge(deeper.service(), seen, ReportedLevel::newer);
     }
 
     /**
-     * Returns the level below a service for a class of calls.
+     * Returns the admission level of the services that a class of calls leads to behind a service.
      *
-     * @param service the service
-     * @param pathClass the class
+     * @param service the service called directly
+     * @param pathClass the class of calls
      * @param nowNanos the time
-     * @return the rank below which a call would be refused further down; 0 when nothing was heard lately
+     * @return the rank below which a call would be refused deeper in the call chain; 0 without a recent report
      */
-    int below(String service, String pathClass, long nowNanos) {
+    int deeperLevel(String service, String pathClass, long nowNanos) {
         int highest = 0;
-        for (String s : below.getOrDefault(service + " " + pathClass, Set.of())) {
-            highest = Math.max(highest, services.getOrDefault(s, SeenLevel.NONE).faded(nowNanos));
+        for (String s : deeperServices.getOrDefault(service + " " + pathClass, Set.of())) {
+            highest = Math.max(
+                    highest, services.getOrDefault(s, ReportedLevel.NONE).decayed(nowNanos));
         }
         return highest;
     }
 
     /**
-     * Words for an answer what is known of the services that were called for it.
+     * Returns the strictest level of the services that were called for an answer, to be sent with that answer.
      *
-     * @param called the services, and those that their answers named
+     * @param called the services that were called, and those that their answers named
      * @param nowNanos the time
-     * @return the one that refuses most
+     * @return the service with the highest level
      */
     public Message.Below highest(Collection<String> called, long nowNanos) {
-        Message.Below highest = Message.Below.NOTHING;
-        int most = -1;
+        Message.Below strictest = Message.Below.NOTHING;
+        int highestLevel = -1;
         for (String service : called) {
-            SeenLevel seen = services.getOrDefault(service, SeenLevel.NONE);
-            int level = seen.faded(nowNanos);
-            if (level > most) {
-                most = level;
-                int ageMillis = (int) Math.min(AGE_MOST_MILLIS, (nowNanos - seen.at()) / MILLI);
-                highest = new Message.Below(service, seen.rank(), ageMillis);
+            ReportedLevel seen = services.getOrDefault(service, ReportedLevel.NONE);
+            int level = seen.decayed(nowNanos);
+            if (level > highestLevel) {
+                highestLevel = level;
+                int ageMillis = (int) Math.min(MAX_AGE_MILLIS, (nowNanos - seen.atNanos()) / MILLI);
+                strictest = new Message.Below(service, seen.rank(), ageMillis);
             }
         }
-        return highest;
+        return strictest;
     }
 
     /**
-     * Works out the lowest level among the upstreams of a service that were heard of lately, since one with room can
-     * take what the others can't.
+     * Returns the lowest level among the upstreams of a service that reported recently, since an upstream with spare
+     * capacity can take the calls that the others refuse.
      */
-    private SeenLevel lowest(Upstream upstream, int level, long now) {
-        Map<String, SeenLevel> all = upstreams.computeIfAbsent(upstream.service(), s -> new ConcurrentHashMap<>());
-        all.put(upstream.id(), new SeenLevel(level, now));
-        all.values().removeIf(s -> now - s.at() > TOGETHER_NANOS);
+    private ReportedLevel lowestRecent(Upstream upstream, int level, long now) {
+        Map<String, ReportedLevel> all = upstreams.computeIfAbsent(upstream.service(), s -> new ConcurrentHashMap<>());
+        all.put(upstream.id(), new ReportedLevel(level, now));
+        all.values().removeIf(s -> now - s.atNanos() > AGGREGATION_NANOS);
         int lowest = level;
-        for (SeenLevel s : all.values()) {
+        for (ReportedLevel s : all.values()) {
             lowest = Math.min(lowest, s.rank());
         }
-        return new SeenLevel(lowest, now);
+        return new ReportedLevel(lowest, now);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/SpareRoom.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/SpareCapacity.java
@@ -4,30 +4,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws candidates, those with more spare room more often, so that many nodes with the same reports don't all choose
- * the same one.
+ * Draws candidates at random, weighted by spare capacity, so that many nodes with the same reports don't all choose the
+ * same one.
  */
-final class SpareRoom {
-    /** The least weight in the draw, so that a filled candidate is still heard of. */
-    private static final double WEIGHT_LEAST = 0.05;
+final class SpareCapacity {
+    /** Minimum weight, so that a fully utilised candidate still gets calls and reports its load. */
+    private static final double MIN_WEIGHT = 0.05;
 
-    private SpareRoom() {}
+    private SpareCapacity() {}
 
-    /** Draws one of at least one. */
+    /** Draws a candidate from a non-empty list. */
     static Candidate draw(List<Candidate> fit, RandomGenerator random) {
         return drawOther(fit, null, random);
     }
 
-    /** Draws one of at least two that isn't the one drawn before. */
-    static Candidate drawOther(List<Candidate> fit, Candidate except, RandomGenerator random) {
+    /** Draws a candidate other than the excluded one from a list of at least two. */
+    static Candidate drawOther(List<Candidate> fit, Candidate excluded, RandomGenerator random) {
         double total = 0;
         for (Candidate c : fit) {
-            total += c == except ? 0 : weight(c);
+            total += c == excluded ? 0 : weight(c);
         }
         double point = random.nextDouble() * total;
         Candidate last = fit.get(0);
         for (Candidate c : fit) {
-            if (c == except) {
+            if (c == excluded) {
                 continue;
             }
             last = c;
@@ -40,6 +40,6 @@
     }
 
     private static double weight(Candidate c) {
-        return Math.max(WEIGHT_LEAST, 1 - c.utilisation());
+        return Math.max(MIN_WEIGHT, 1 - c.utilisation());
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/TwoChoicesProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/TwoChoicesProvider.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Registers the power of two choices as {@code two-choices}: of two candidates drawn at random, the less loaded.
+ * Provides the chooser {@code two-choices}: draws two candidates at random and chooses the less loaded one.
  */
 public final class TwoChoicesProvider implements ChooserProvider {
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
@@ -1,15 +1,15 @@
 package org.verbenadyke.kernel.routing;
 
 /**
- * An upstream as its node announced it.
+ * An upstream as announced by its node.
  *
- * @param id the name; it changes when the node beside it restarts
+ * @param id the id, which changes when the colocated node restarts
  * @param service the service it serves
- * @param node where the node beside it listens
- * @param place where it stands
+ * @param node the address of the colocated node
+ * @param place its location
  */
 public record Upstream(String id, String service, Endpoint node, Place place) {
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Upstream o
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/LocalityPreferenceTest.java
@@ -14,44 +14,44 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Tests {@link NearFirst} by a replay: senders in three data centres, one upstream in each, places and queues as real
- * ones have them.
+ * Tests {@link LocalityPreference} by a simulation: senders in three data centres and one upstream in each, with a
+ * concurrency limit and a queue as real upstreams have.
  */
-final class NearFirstTest {
+final class LocalityPreferenceTest {
     private static final long MILLI = 1_000_000L;
     private static final long WORK_NANOS = 20 * MILLI;
-    private static final long TRIP_NANOS = 3 * MILLI;
+    private static final long ROUND_TRIP_NANOS = 3 * MILLI;
     private static final long END = 10_000 * MILLI;
-    private static final int PLACES = 40;
+    private static final int SLOTS = 40;
     private static final int SENDERS = 12;
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
     private static final List<String> CENTRES = List.of("d0", "d1", "d2");
 
-    /** Without regard to place 31 % of the calls cross between data centres; so 4 % do. */
+    /** Without the preference 31 % of the calls go to another data centre; with it 4 % do. */
     @Test
-    void keepsCallsInTheDataCentreWhileThereIsRoom() {
+    void keepsCallsInTheDataCentreWhileItHasSpareCapacity() {
         Replay replay = new Replay(1, 1, 1);
         replay.run(0.4);
-        assertTrue(replay.crossed < 0.1 * replay.sent, replay.crossed + " of " + replay.sent + " crossed");
+        assertTrue(replay.remote < 0.1 * replay.sent, replay.remote + " of " + replay.sent + " remote");
         assertTrue(replay.meanMillis() < 22, replay.meanMillis() + " ms");
     }
 
     @Test
-    void leavesItWhenTheUpstreamsElsewhereAreMuchFaster() {
+    void prefersMuchFasterUpstreamsInOtherDataCentres() {
         Replay replay = new Replay(0.5, 1.5, 1.5);
         replay.run(0.3);
-        assertTrue(replay.slowest < 0.2 * replay.sent, replay.slowest + " of " + replay.sent + " to the slow one");
+        assertTrue(replay.toSlowest < 0.2 * replay.sent, replay.toSlowest + " of " + replay.sent + " to the slow one");
     }
 
-    /** Without regard to place the mean is 21.9 ms at this load, so that no one pays for the calls that stay. */
+    /** Without the preference the mean is 21.9 ms at this load: keeping calls local must not cost latency. */
     @Test
-    void spreadsTheCallsNearTheCapacity() {
+    void spreadsTheCallsCloseToFullCapacity() {
         Replay replay = new Replay(0.7, 1, 1.3);
         replay.run(0.9);
         assertTrue(replay.meanMillis() < 22.5, replay.meanMillis() + " ms");
     }
 
-    /** Senders, upstreams and what lies between them. */
+    /** A simulation of the senders, the upstreams and the network between them. */
     private static final class Replay {
         private final SplittableRandom random = new SplittableRandom(7);
         private final List<Router> senders = new ArrayList<>();
@@ -60,9 +60,9 @@
         private double speed;
         private long now;
         private int sent;
-        private int crossed;
-        private int slowest;
-        private long waited;
+        private int remote;
+        private int toSlowest;
+        private long totalLatencyNanos;
         private int answered;
 
         private Replay(double... speeds) {
@@ -82,7 +82,7 @@
         }
 
         private void run(double load) {
-            double perMilli = load * speed * PLACES * MILLI / WORK_NANOS;
+            double perMilli = load * speed * SLOTS * MILLI / WORK_NANOS;
             for (long t = 0; t < END; t += MILLI) {
                 while (!events.isEmpty() && events.peek().at() <= t) {
                     Event e = events.poll();
@@ -102,11 +102,11 @@
             int target = to.upstream().id().charAt(1) - '0';
             boolean near = target == sender % CENTRES.size();
             sent++;
-            crossed += near ? 0 : 1;
-            slowest += target == 0 ? 1 : 0;
+            remote += near ? 0 : 1;
+            toSlowest += target == 0 ? 1 : 0;
             to.sent();
             long begun = now;
-            long trip = near ? 0 : TRIP_NANOS / 2;
+            long trip = near ? 0 : ROUND_TRIP_NANOS / 2;
             after(trip, () -> servers.get(target).take(new Call(to, begun, trip)));
         }
 
@@ -115,10 +115,10 @@
         }
 
         private double meanMillis() {
-            return (double) waited / answered / MILLI;
+            return (double) totalLatencyNanos / answered / MILLI;
         }
 
-        /** An upstream with places and a queue. */
+        /** An upstream with a concurrency limit and a queue. */
         private final class Server {
             private final double speed;
             private final Deque<Call> queue = new ArrayDeque<>();
@@ -129,7 +129,7 @@
             }
 
             private void take(Call call) {
-                if (inFlight == PLACES) {
+                if (inFlight == SLOTS) {
                     queue.add(call);
                     return;
                 }
@@ -140,7 +140,7 @@
             private void finish(Call call) {
                 inFlight--;
                 Message.Report report =
-                        new Message.Report(inFlight + queue.size(), PLACES, 0, 0, false, Message.Below.NOTHING);
+                        new Message.Report(inFlight + queue.size(), SLOTS, 0, 0, false, Message.Below.NOTHING);
                 after(call.trip(), () -> arrive(call, report));
                 if (!queue.isEmpty()) {
                     take(queue.poll());
@@ -151,15 +151,15 @@
                 call.to().ended();
                 call.to().reported("", report, now);
                 call.to().succeeded(now - call.begun());
-                waited += now - call.begun();
+                totalLatencyNanos += now - call.begun();
                 answered++;
             }
         }
     }
 
-    /** A call under way. */
+    /** A call in flight. */
     private record Call(Candidate to, long begun, long trip) {}
 
-    /** A step at a time. */
+    /** A step of the simulation that is due at a time. */
     private record Event(long at, Runnable step) {}
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-/** Tests {@link ServiceLevels} and what {@link Router} makes of them. */
+/** Tests {@link ServiceLevels} and how {@link Router} applies them. */
 final class ServiceLevelsTest {
     private static final long MILLI = 1_000_000L;
     private static final Place PLACE = new Place("r", "d");
@@ -21,42 +21,42 @@
     private final ServiceLevels levels = ServiceLevels.unknown();
 
     @Test
-    void takesTheYoungerWord() {
-        heard("front-1", "front", PATH, 0, new Message.Below("deep", 200, 300), 1_000);
-        heard("front-2", "front", PATH, 0, new Message.Below("deep", 90, 400), 1_010);
-        assertEquals(200, levels.below("front", PATH, 1_020 * MILLI));
-        heard("front-2", "front", PATH, 0, new Message.Below("deep", 90, 10), 1_030);
-        assertEquals(90, levels.below("front", PATH, 1_040 * MILLI));
+    void keepsTheMoreRecentLevel() {
+        received("front-1", "front", PATH, 0, new Message.Below("deep", 200, 300), 1_000);
+        received("front-2", "front", PATH, 0, new Message.Below("deep", 90, 400), 1_010);
+        assertEquals(200, levels.deeperLevel("front", PATH, 1_020 * MILLI));
+        received("front-2", "front", PATH, 0, new Message.Below("deep", 90, 10), 1_030);
+        assertEquals(90, levels.deeperLevel("front", PATH, 1_040 * MILLI));
     }
 
     @Test
-    void takesTheLowestOfTheUpstreamsHeardOfLately() {
-        heard("deep-1", "deep", "GET /geo", 200, Message.Below.NOTHING, 1_000);
-        heard("deep-2", "deep", "GET /geo", 120, Message.Below.NOTHING, 1_100);
+    void takesTheLowestLevelOfRecentlySeenUpstreams() {
+        received("deep-1", "deep", "GET /geo", 200, Message.Below.NOTHING, 1_000);
+        received("deep-2", "deep", "GET /geo", 120, Message.Below.NOTHING, 1_100);
         assertEquals(new Message.Below("deep", 120, 50), levels.highest(Set.of("deep"), 1_150 * MILLI));
-        heard("deep-1", "deep", "GET /geo", 210, Message.Below.NOTHING, 1_500);
+        received("deep-1", "deep", "GET /geo", 210, Message.Below.NOTHING, 1_500);
         assertEquals(new Message.Below("deep", 210, 0), levels.highest(Set.of("deep"), 1_500 * MILLI));
     }
 
     @Test
-    void tellsOfTheServiceThatRefusesMost() {
-        heard("a-1", "a", "GET /x", 10, Message.Below.NOTHING, 1_000);
-        heard("b-1", "b", "GET /x", 30, Message.Below.NOTHING, 1_000);
+    void reportsTheServiceWithTheStrictestLevel() {
+        received("a-1", "a", "GET /x", 10, Message.Below.NOTHING, 1_000);
+        received("b-1", "b", "GET /x", 30, Message.Below.NOTHING, 1_000);
         assertEquals("b", levels.highest(Set.of("a", "b", "c"), 1_010 * MILLI).service());
         assertEquals(Message.Below.NOTHING, levels.highest(Set.of(), 1_010 * MILLI));
     }
 
     @Test
-    void forgetsWhatIsNotToldAgain() {
-        heard("front-1", "front", PATH, 0, new Message.Below("deep", 200, 0), 1_000);
-        assertEquals(200, levels.below("front", PATH, 1_400 * MILLI));
-        assertEquals(0, levels.below("front", PATH, 2_000 * MILLI));
-        assertEquals(0, levels.below("front", "GET /other", 1_010 * MILLI));
+    void levelsDecayUnlessReportedAgain() {
+        received("front-1", "front", PATH, 0, new Message.Below("deep", 200, 0), 1_000);
+        assertEquals(200, levels.deeperLevel("front", PATH, 1_400 * MILLI));
+        assertEquals(0, levels.deeperLevel("front", PATH, 2_000 * MILLI));
+        assertEquals(0, levels.deeperLevel("front", "GET /other", 1_010 * MILLI));
     }
 
-    /** Another kind of call of the same node brings news of the same service; no upstream was heard of lately. */
+    /** A different call of the same node brings a level of the same service; no upstream reported recently. */
     @Test
-    void refusesByWhatOtherCallsBroughtHome() {
+    void appliesLevelsLearnedFromOtherCalls() {
         SplittableRandom random = new SplittableRandom(1);
         Router router = Router.create("me", PLACE, 12, new ExpectedFinishProvider().create(), () -> random, true);
         List<Upstream> upstreams = new ArrayList<>(List.of(new Upstream("mid-1", "mid", AT, PLACE)));
@@ -71,9 +71,9 @@
         assertInstanceOf(Choice.To.class, route(router, 200, 9_030));
     }
 
-    private void heard(String id, String service, String path, int level, Message.Below below, long millis) {
+    private void received(String id, String service, String path, int level, Message.Below below, long millis) {
         Message.Report report = new Message.Report(1, 10, level, level, false, below);
-        levels.heard(new Upstream(id, service, AT, PLACE), path, report, millis * MILLI);
+        levels.received(new Upstream(id, service, AT, PLACE), path, report, millis * MILLI);
     }
 
     private static void report(Router router, String id, String path, Message.Below below, long millis) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -12,8 +12,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Replays a load on three upstreams of which one sheds near half of its calls for some seconds, at once and without
- * looking busy.
+ * Simulates load on three upstreams, one of which sheds almost half of its calls for some seconds. It sheds
+ * immediately, so that it looks idle.
  */
 final class SheddingUpstreamTest {
     private static final long MILLI = 1_000_000L;
@@ -22,7 +22,7 @@
     private static final long TROUBLE_TO = 8_000 * MILLI;
     private static final long END = 14_000 * MILLI;
     private static final double SHED_SHARE = 0.45;
-    private static final int PLACES = 40;
+    private static final int SLOTS = 40;
     private static final Place PLACE = new Place("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
 
@@ -33,23 +33,23 @@
     private int sentInTrouble;
     private int shedInTrouble;
     private int sentLate;
-    private int sentLateToOne;
+    private int sentLateToShedding;
 
     @Test
-    void avoidsTheUpstreamThatShedsAndComesBackToIt() {
+    void avoidsASheddingUpstreamUntilItRecovers() {
         replay(true);
         assertTrue(shedInTrouble < 0.06 * sentInTrouble, shedInTrouble + " of " + sentInTrouble + " shed");
-        assertTrue(sentLateToOne > 0.2 * sentLate, sentLateToOne + " of " + sentLate + " after the trouble");
+        assertTrue(sentLateToShedding > 0.2 * sentLate, sentLateToShedding + " of " + sentLate + " after the trouble");
     }
 
-    /** The plain choice by load and speed, which takes a shedding upstream for an idle one. */
+    /** Choosing by load and speed alone treats a shedding upstream as an idle one. */
     @Test
-    void wouldElseKeepSendingToIt() {
+    void keepsSendingToItWhenShedsAreIgnored() {
         replay(false);
         assertTrue(shedInTrouble > 0.12 * sentInTrouble, shedInTrouble + " of " + sentInTrouble + " shed");
     }
 
-    private void replay(boolean noted) {
+    private void replay(boolean recordSheds) {
         List<Upstream> upstreams = new ArrayList<>();
         for (String id : List.of("a", "b", "c")) {
             upstreams.add(new Upstream(id, "s", AT, PLACE));
@@ -59,28 +59,28 @@
             while (!answers.isEmpty() && answers.peek().atNanos() <= now) {
                 answers.poll().arrive();
             }
-            send(now, noted);
+            send(now, recordSheds);
         }
     }
 
-    private void send(long now, boolean noted) {
+    private void send(long now, boolean recordSheds) {
         Choice choice = router.route(new RouteQuery("s", "", 0, "", Set.of()), now);
         Candidate to = ((Choice.To) choice).candidate();
-        boolean one = to.upstream().id().equals("a");
+        boolean shedding = to.upstream().id().equals("a");
         boolean trouble = now >= TROUBLE_FROM && now < TROUBLE_TO;
-        boolean shed = one && trouble && random.nextDouble() < SHED_SHARE;
+        boolean shed = shedding && trouble && random.nextDouble() < SHED_SHARE;
         to.sent();
         sentInTrouble += trouble ? 1 : 0;
         shedInTrouble += shed ? 1 : 0;
         sentLate += now >= TROUBLE_TO + 3_000 * MILLI ? 1 : 0;
-        sentLateToOne += one && now >= TROUBLE_TO + 3_000 * MILLI ? 1 : 0;
+        sentLateToShedding += shedding && now >= TROUBLE_TO + 3_000 * MILLI ? 1 : 0;
         if (!shed) {
             answers.add(new Answer(now + SERVICE_NANOS, to));
             return;
         }
         to.ended();
-        to.reported("", new Message.Report(0, PLACES, 0, 0, false, Message.Below.NOTHING), now);
-        if (noted) {
+        to.reported("", new Message.Report(0, SLOTS, 0, 0, false, Message.Below.NOTHING), now);
+        if (recordSheds) {
             to.shed(now);
         }
     }
@@ -88,13 +88,13 @@
     /**
      * An answer on its way.
      *
-     * @param atNanos when it comes
-     * @param from who sends it
+     * @param atNanos when it arrives
+     * @param from the upstream that sends it
      */
     private record Answer(long atNanos, Candidate from) {
         void arrive() {
             from.ended();
-            from.reported("", new Message.Report(PLACES / 4, PLACES, 0, 0, false, Message.Below.NOTHING), atNanos);
+            from.reported("", new Message.Report(SLOTS / 4, SLOTS, 0, 0, false, Message.Below.NOTHING), atNanos);
             from.succeeded(SERVICE_NANOS);
         }
     }
