--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanDocument.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/PlanDocument.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.route;
 
 /**
- * A plan as its operator wrote it, but without secrets; passed between nodes unchanged.
+ * A route plan as written by an operator, but without secrets. Nodes pass the document on unchanged.
  *
  * @param version the plan's version
  * @param bytes the document
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
@@ -11,17 +11,17 @@
 import org.verbenadyke.kernel.team.Team;
 
 /**
- * Holds the plan in force. A version only ever gives way to a higher one, whether it comes from the operators' store or
- * from another node; a document that can't be used leaves the last plan in force. Safe for many threads.
+ * Holds the route plan in force. A plan is only ever replaced by one with a higher version, whether that comes from the
+ * operators' store or from another node. An unusable document leaves the current plan in force. Thread-safe.
  */
 public final class PlanKeeper {
-    /** The version while no plan is known. */
+    /** The version before the first plan. */
     public static final long NONE = -1;
 
     private final PlanReader reader;
     private final Counters counters;
     private final Listener listener;
-    private final AtomicReference<Held> held = new AtomicReference<>();
+    private final AtomicReference<Current> current = new AtomicReference<>();
 
     private PlanKeeper(PlanReader reader, Counters counters, Listener listener) {
         this.reader = reader;
@@ -30,21 +30,21 @@
     }
 
     /**
-     * Creates a keeper without a plan.
+     * Creates a store without a plan.
      *
      * @param reader reads documents
-     * @param counters where plans taken and rejected are counted
-     * @param listener takes what becomes of each document
-     * @return the keeper
+     * @param counters counts plans that were applied and rejected
+     * @param listener is notified of plans that were applied and rejected
+     * @return the store
      */
     public static PlanKeeper create(PlanReader reader, Counters counters, Listener listener) {
         return new PlanKeeper(reader, counters, listener);
     }
 
     /**
-     * Creates a keeper for nodes that are not given routes; it takes no document.
+     * Creates a store for nodes that have no route plan; it rejects every document.
      *
-     * @return the keeper
+     * @return the store
      */
     public static PlanKeeper absent() {
         return new PlanKeeper(
@@ -55,12 +55,12 @@
                 new Listener() {
                     @Override
                     public void applied(RoutePlan plan, long before, String source) {
-                        // No document is ever taken.
+                        // No document is ever applied.
                     }
 
                     @Override
                     public void rejected(String source, List<String> problems) {
-                        // The peer that sent it serves another kind of fleet; nothing changes here.
+                        // The document came from a peer of a fleet with route plans; it does not concern this node.
                     }
                 });
     }
@@ -71,14 +71,14 @@
      * @return the plan, empty before the first
      */
     public Optional<RoutePlan> plan() {
-        return Optional.ofNullable(held.get()).map(Held::plan);
+        return Optional.ofNullable(current.get()).map(Current::plan);
     }
 
     /**
      * Finds a team of the plan in force.
      *
      * @param name its name
-     * @return the team, empty if the plan lists none of the name
+     * @return the team, empty if the plan has no team of that name
      */
     public Optional<Team> team(String name) {
         return plan().flatMap(RoutePlan::teams).flatMap(t -> t.named(name));
@@ -90,7 +90,7 @@
      * @return the document, empty before the first
      */
     public Optional<PlanDocument> document() {
-        return Optional.ofNullable(held.get())
+        return Optional.ofNullable(current.get())
                 .map(h -> new PlanDocument(h.plan().version(), h.bytes()));
     }
 
@@ -100,15 +100,15 @@
      * @return the version, {@link #NONE} before the first
      */
     public long version() {
-        Held h = held.get();
+        Current h = current.get();
         return h == null ? NONE : h.plan().version();
     }
 
     /**
-     * Takes a document.
+     * Applies a document if it is valid and its version is higher than the one in force.
      *
      * @param bytes the document
-     * @param source where it came from, for the log
+     * @param source the origin of the document, for the log
      */
     public void offer(byte[] bytes, String source) {
         RoutePlan plan;
@@ -126,9 +126,9 @@
         if (plan.version() <= version()) {
             return;
         }
-        Held next = new Held(plan, reader.withoutSecrets(bytes));
-        Held before = held.getAndUpdate(h -> h == null || h.plan().version() < plan.version() ? next : h);
-        if (held.get() == next && before != next) {
+        Current next = new Current(plan, reader.withoutSecrets(bytes));
+        Current before = current.getAndUpdate(h -> h == null || h.plan().version() < plan.version() ? next : h);
+        if (current.get() == next && before != next) {
             counters.count(Event.CONFIG_APPLIED);
             listener.applied(plan, before == null ? NONE : before.plan().version(), source);
         }
@@ -142,7 +142,7 @@
     /**
      * Returns an error for a document that can't be read.
      *
-     * @param what what is wrong with it
+     * @param what what is wrong with the document
      * @return the error
      */
     public static VerbenadykeException unreadable(String what) {
@@ -150,23 +150,23 @@
     }
 
     /**
-     * Takes what becomes of documents.
+     * Is notified of plans that were applied and documents that were rejected.
      */
     public interface Listener {
         /**
-         * Takes a plan that came in force.
+         * Called when a plan came into force.
          *
          * @param plan the plan
          * @param before the version it replaced, {@link #NONE} if it is the first
-         * @param source where it came from
+         * @param source the origin of the document
          */
         void applied(RoutePlan plan, long before, String source);
 
         /**
-         * Takes the faults of a document that was not used.
+         * Called when a document was rejected.
          *
-         * @param source where it came from
-         * @param problems a sentence for each fault
+         * @param source the origin of the document
+         * @param problems a sentence for each problem
          */
         void rejected(String source, List<String> problems);
     }
@@ -177,5 +177,5 @@
      * @param plan the plan
      * @param bytes the document
      */
-    private record Held(RoutePlan plan, byte[] bytes) {}
+    private record Current(RoutePlan plan, byte[] bytes) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/PlanReader.java
@@ -1,24 +1,25 @@
 package org.verbenadyke.kernel.route;
 
 /**
- * Reads an operator's document.
+ * Parses an operator's document into a route plan.
  */
 @FunctionalInterface
 public interface PlanReader {
     /**
-     * Reads a document.
+     * Parses a document.
      *
      * @param document the document
      * @return the plan
-     * @throws org.verbenadyke.kernel.error.VerbenadykeException with a code of its own when it can't be read
+     * @throws org.verbenadyke.kernel.error.VerbenadykeException with a specific error code when the document can't be
+     *     read
      */
     RoutePlan read(byte[] document);
 
     /**
-     * Returns a document as other nodes may get it: without secrets that reading it doesn't need.
+     * Returns a copy of a document for other nodes, without the secrets that aren't needed to parse it.
      *
-     * @param document a document that can be read
-     * @return a document that reads as the same plan
+     * @param document a valid document
+     * @return a document that yields the same plan
      */
     default byte[] withoutSecrets(byte[] document) {
         return document;
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PriorityBands.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/PriorityBands.java
@@ -14,12 +14,12 @@
 import org.verbenadyke.kernel.team.TeamEntry;
 
 /**
- * Maps the priorities of a plan to importances. The team's priority decides first and the route's among equals; a
- * caller without a team, or whose team has no priority, comes after all teams that have one.
+ * Maps the priorities of a route plan to importances. Requests are ordered by the priority of the team and then by that
+ * of the route. Callers without a team, or whose team has no priority, come after all teams that have one.
  *
- * <p>The least urgent pair that the plan allows is the lowest importance, and so on upwards without gaps, so that
- * shedding begins with requests that there are. The highest importance is left for calls inside a chain; where there
- * are more pairs than importances below it, the most urgent ones share the last of these.
+ * <p>The least urgent pair of priorities in the plan gets the lowest importance, the next one the importance above it,
+ * and so on without gaps, so that shedding begins with requests that exist. The highest importance is reserved for
+ * nested calls; if there are more pairs than remaining importances, the most urgent pairs share the highest of these.
  */
 final class PriorityBands {
     /** The priority of a caller whose team has none. */
@@ -64,13 +64,13 @@
     }
 
     /**
-     * What decides how much a request matters.
+     * The priorities that determine the importance of a request.
      *
      * @param team the priority of its caller's team, {@link #NONE} if there is none
      * @param route the priority of its route
      */
     private record Pair(int team, int route) {
-        // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+        // Written out because the derived methods are generated at their first use, which slows down process startup.
         @Override
         public boolean equals(Object other) {
             return other instanceof Pair o && team == o.team && route == o.route;
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RequestLimits.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RequestLimits.java
@@ -1,12 +1,12 @@
 package org.verbenadyke.kernel.route;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the size of requests and on how long callers may take to send them.
  *
- * @param headerBytes the most bytes of a request's head
- * @param bodyBytes the most bytes of a request's body
- * @param headerNanos how long a request's head may take to arrive, in nanoseconds
- * @param idleNanos how long a connection without a request is kept, in nanoseconds
+ * @param headerBytes maximum size of a request's head, in bytes
+ * @param bodyBytes maximum size of a request's body, in bytes
+ * @param headerNanos timeout for receiving a request's head, in nanoseconds
+ * @param idleNanos how long an idle connection is kept open, in nanoseconds
  */
 public record RequestLimits(int headerBytes, long bodyBytes, long headerNanos, long idleNanos) {
     private static final int HEADER_BYTES = 16 * 1024;
@@ -15,7 +15,7 @@
     private static final long IDLE_NANOS = 60_000_000_000L;
 
     /**
-     * Returns the limits that hold before a plan is known.
+     * Returns the limits that apply before the first plan.
      *
      * @return common limits of HTTP servers
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/ReturningCallers.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/ReturningCallers.java
@@ -4,36 +4,37 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Tells requests of callers that were refused and came back from first ones, by the time that they still wait: a caller
- * begins with the same time for each request of a route, and has less when it comes back as told. One that repeats at
- * once has nearly all of it left, and counts as new. Safe for many threads.
+ * Distinguishes retries of returning callers, which were refused and retry after the Retry-After delay, from first
+ * requests. It compares remaining timeouts: a caller starts with the same timeout for each request of a route, and has
+ * less of it left when it returns. A caller that retries immediately has nearly all of it left, and counts as new.
+ * Thread-safe.
  */
 public final class ReturningCallers {
-    /** The share of a route's longest wait below which a request counts as a return. */
-    private static final double RETURNED_SHARE = 0.96;
+    /** Share of a route's longest timeout below which a request counts as a retry. */
+    private static final double RETRY_SHARE = 0.96;
 
     private final Map<String, Long> longest = new ConcurrentHashMap<>();
 
     private ReturningCallers() {}
 
     /**
-     * Creates one that has seen no request.
+     * Creates an instance that has seen no requests.
      *
-     * @return the learner
+     * @return the instance
      */
     public static ReturningCallers create() {
         return new ReturningCallers();
     }
 
     /**
-     * Notes a request.
+     * Records a request and returns how long its caller has been waiting.
      *
-     * @param route its route's name
-     * @param waitsMillis how long its caller still waits, in milliseconds
-     * @return how long its caller has waited since its first request, in milliseconds; 0 if this is the first one
+     * @param route the name of its route
+     * @param timeoutMillis the caller's remaining timeout, in milliseconds
+     * @return the time since the caller's first request, in milliseconds; 0 if this is the first request
      */
-    public long waitedMillis(String route, long waitsMillis) {
-        long most = longest.merge(route, waitsMillis, Math::max);
-        return waitsMillis < most * RETURNED_SHARE ? most - waitsMillis : 0;
+    public long waitedMillis(String route, long timeoutMillis) {
+        long longestMillis = longest.merge(route, timeoutMillis, Math::max);
+        return timeoutMillis < longestMillis * RETRY_SHARE ? longestMillis - timeoutMillis : 0;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RouteIndex.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RouteIndex.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * Finds routes by host and longest path prefix, in time that grows with the path's depth only.
+ * Finds routes by host and longest path prefix, in time proportional to the depth of the path.
  */
 final class RouteIndex {
     private final Map<String, Map<String, Route>> byHost;
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlan.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlan.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.team.TeamDirectory;
 
 /**
- * All routes, services and limits of one version. Immutable; published as a whole.
+ * The routes, services, limits and teams of one version. Immutable, and replaced as a whole.
  */
 public final class RoutePlan {
     private final long version;
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Creates a plan that serves callers without asking who they are.
+     * Creates a plan that serves callers without authentication.
      *
-     * @param version its version; a higher one replaces it
+     * @param version its version; a plan with a higher version replaces it
      * @param routes its routes
      * @param services its services
-     * @param limits what callers may send
+     * @param limits the limits on requests
      * @return the plan, indexed for look-ups
      */
     public static RoutePlan of(long version, List<Route> routes, List<ServiceEntry> services, RequestLimits limits) {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Returns the same plan for callers of certain teams.
+     * Returns a copy of the plan that authenticates callers by team.
      *
      * @param directory the teams
      * @return the plan
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Returns the limits on callers.
+     * Returns the limits on requests.
      *
      * @return the limits
      */
@@ -96,17 +96,17 @@
     /**
      * Returns the teams whose callers are served.
      *
-     * @return the teams, empty if callers need not be known
+     * @return the teams, empty if callers are not authenticated
      */
     public Optional<TeamDirectory> teams() {
         return teams;
     }
 
     /**
-     * Returns how much the requests of a route matter.
+     * Returns the importance of the requests of a route.
      *
      * @param route a route of this plan
-     * @param team the team that asks, if it is known
+     * @param team the caller's team, if it is known
      * @return the importance
      */
     public Importance importance(Route route, Optional<Team> team) {
@@ -114,11 +114,11 @@
     }
 
     /**
-     * Finds the route of a request: of the host's routes, the one with the longest prefix of the path.
+     * Finds the route of a request: among the routes of the host, the one with the longest matching path prefix.
      *
      * @param host the host named by the request; a port is ignored
      * @param path the request's path, with or without a query
-     * @return the route, if there is one
+     * @return the route, empty if none matches
      */
     public Optional<Route> find(String host, String path) {
         return index.find(host, path);
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanCheck.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.team.TeamCheck;
 
 /**
- * Finds every fault of a plan at once, so that an operator can mend all of them in one go.
+ * Validates a route plan. Reports all problems at once, so that an operator can fix them in one edit.
  */
 public final class RoutePlanCheck {
     private RoutePlanCheck() {}
@@ -18,7 +18,7 @@
      * Checks a plan.
      *
      * @param plan the plan
-     * @return a sentence for each fault; empty when the plan can be used
+     * @return a sentence for each problem; empty when the plan is valid
      */
     public static List<String> problems(RoutePlan plan) {
         List<String> problems = new ArrayList<>();
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/ServiceEntry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/ServiceEntry.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.kernel.route;
 
 /**
- * What the plan says of a service.
+ * A service of a route plan.
  *
- * @param name the service
+ * @param name the name of the service
  * @param healthPath the path of its health check
- * @param connectionsMost how many connections one of its upstreams accepts from all nodes together
+ * @param maxConnections the number of connections that one of its upstreams accepts from all nodes together
  */
-public record ServiceEntry(String name, String healthPath, int connectionsMost) {}
+public record ServiceEntry(String name, String healthPath, int maxConnections) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/ServiceShare.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/ServiceShare.java
@@ -1,9 +1,9 @@
 package org.verbenadyke.kernel.route;
 
 /**
- * One part of a route's split.
+ * A service's share in the traffic split of a route.
  *
- * @param service the service that gets the part
- * @param weight its weight among the parts of the route, from 0
+ * @param service the service that gets the share
+ * @param weight its weight relative to the other shares of the route, at least 0
  */
 public record ServiceShare(String service, int weight) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/SplitCursor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/SplitCursor.java
@@ -5,12 +5,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Deals the requests of each route to the parts of its split. Answers the load pattern of few requests a second a
- * node: drawn at random, a tenth share would stray by several hundredths over some hundred requests; dealt along a
- * sequence that fills the interval evenly, it strays by one or two requests. Safe for many threads.
+ * Distributes the requests of each route over the services of its traffic split. Thread-safe.
+ *
+ * <p>Load pattern: few requests a second on each node. With random draws, a share of a tenth would deviate by several
+ * hundredths over some hundred requests. With a low-discrepancy sequence it deviates by one or two requests.
  */
 public final class SplitCursor {
-    /** The golden ratio's fraction in 32 bits; its multiples spread evenly over the interval at every length. */
+    /** The fraction of the golden ratio in 32 bits; its multiples spread evenly over the interval at every length. */
     private static final int STEP = 0x9E3779B9;
 
     private static final int BITS = 32;
@@ -24,10 +25,10 @@
     }
 
     /**
-     * Creates a cursor.
+     * Creates a splitter.
      *
-     * @param start where every route's sequence begins; nodes should begin at different places
-     * @return the cursor
+     * @param start the start of every route's sequence, which should differ between nodes
+     * @return the splitter
      */
     public static SplitCursor startingAt(int start) {
         return new SplitCursor(start);
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/Authenticator.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/Authenticator.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * Decides who sends a request, where it enters from outside, by the key that it brings and by one configuration.
+ * Identifies the caller of an external request by its API key.
  */
 public final class Authenticator {
-    /** The longest key, in characters. Load pattern: a flood of wrong keys, each of which is digested. */
-    public static final int KEY_MOST = 512;
+    /** Maximum length of a key in characters. Load pattern: a flood of wrong keys, each of which is digested. */
+    public static final int MAX_KEY_LENGTH = 512;
 
     private Authenticator() {}
 
@@ -16,9 +16,9 @@
      * Identifies a caller.
      *
      * @param teams the teams of the configuration in force
-     * @param openToAll whether the route serves callers that bring no key
+     * @param openToAll whether the route serves callers without an API key
      * @param keys the values of all key fields of the request
-     * @return who sends it
+     * @return the identity of the caller
      */
     public static Identity identify(TeamDirectory teams, boolean openToAll, List<String> keys) {
         Identity identity = byKey(teams, keys);
@@ -32,7 +32,7 @@
         if (keys.isEmpty() || keys.get(0).isEmpty()) {
             return new Identity.Rejected(KeyFault.MISSING);
         }
-        if (keys.get(0).length() > KEY_MOST) {
+        if (keys.get(0).length() > MAX_KEY_LENGTH) {
             return new Identity.Rejected(KeyFault.TOO_LONG);
         }
         Optional<Team> holder = teams.holder(KeyDigest.of(keys.get(0)));
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/Identity.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/Identity.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.kernel.team;
 
 /**
- * Who sends a request.
+ * The identity of the sender of a request.
  */
 public sealed interface Identity {
-    /** A caller that need not be known. */
+    /** A caller that need not be identified. */
     record Anonymous() implements Identity {}
 
     /**
@@ -15,9 +15,9 @@
     record Known(Team team) implements Identity {}
 
     /**
-     * A caller that should be known and isn't.
+     * A caller that could not be identified.
      *
-     * @param fault why
+     * @param fault the reason
      */
     record Rejected(KeyFault fault) implements Identity {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/KeyDigest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/KeyDigest.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * Stands for an API key wherever it is kept, compared or passed on: half of its SHA-256. The key can't be learned from
- * it, nor from the time that a look-up takes.
+ * A digest that replaces an API key wherever it is stored, compared or passed on: the first half of its SHA-256 hash.
+ * Neither the digest nor the time that a look-up takes reveals the key.
  *
  * @param high the upper half of the digest
  * @param low the lower half of the digest
@@ -18,7 +18,7 @@
     private static final int HEX_DIGITS = 2 * Long.BYTES * 2;
 
     /**
-     * Digests a key.
+     * Computes the digest of a key.
      *
      * @param key the key
      * @return its digest
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Reads a digest.
+     * Parses a digest.
      *
-     * @param hex what {@link #hex} returned
-     * @return the digest, empty if the text is none
+     * @param hex a digest in the form that {@link #hex} returns
+     * @return the digest, empty if the text is not a digest
      */
     public static Optional<KeyDigest> parse(String hex) {
         if (hex.length() != HEX_DIGITS || !hex.chars().allMatch(HexFormat::isHexDigit)) {
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Words the digest.
+     * Formats the digest.
      *
      * @return 32 hexadecimal digits
      */
@@ -60,7 +60,7 @@
         }
     }
 
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof KeyDigest o && high == o.high && low == o.low;
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/KeyFault.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/KeyFault.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /**
- * Why a caller isn't known.
+ * The reason why a caller could not be identified.
  */
 public enum KeyFault {
-    /** The request brings no key. */
+    /** The request has no key. */
     MISSING,
-    /** The request brings several key fields. */
+    /** The request has several key fields. */
     REPEATED,
-    /** The key is longer than any key may be. */
+    /** The key exceeds the maximum length. */
     TOO_LONG,
     /** No team holds the key. */
     UNKNOWN;
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/RateLimit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/RateLimit.java
@@ -1,9 +1,9 @@
 package org.verbenadyke.kernel.team;
 
 /**
- * How many requests a team may send, over all nodes together.
+ * The rate limit of a team over all nodes together.
  *
- * @param perSecond requests a second that it may send for as long as it likes
- * @param burst requests that it may send on top at once after a quiet time
+ * @param perSecond sustained requests a second
+ * @param burst additional requests that it may send at once after an idle period
  */
 public record RateLimit(double perSecond, double burst) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/RejectionPolicy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/RejectionPolicy.java
@@ -4,17 +4,17 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 
 /**
- * Decides what a caller that isn't known is told.
+ * Chooses the refusal for a caller that could not be identified.
  *
- * <p>Load pattern: a key is added while some nodes can't hear of it. Such a node can't tell a new key from a wrong one;
- * told that its key is wrong, a caller would give up, so it is asked to come back. Whoever brings no usable key is told
- * so at once, whatever the node has heard.
+ * <p>Load pattern: a key is added while some nodes are cut off from updates. Such a node can't distinguish a new key
+ * from a wrong one. If it reported the key as wrong, the caller would give up; so it asks the caller to retry. A
+ * request without a usable key is always refused permanently.
  */
 public final class RejectionPolicy {
-    /** How old the last sign of the operators' record may be for a node to be sure that it knows all keys. */
-    private static final long CERTAIN_MILLIS = 3_000;
+    /** Maximum age of the last follower heartbeat for a node to be sure that it knows all keys. */
+    private static final long MAX_HEARTBEAT_AGE_MILLIS = 3_000;
 
-    /** How soon a caller of a node that isn't sure may come back, in milliseconds: some rounds of gossip. */
+    /** Retry-After delay for callers of a node that isn't sure, in milliseconds: some rounds of gossip. */
     private static final long RETRY_MILLIS = 500;
 
     private RejectionPolicy() {}
@@ -22,12 +22,12 @@
     /**
      * Chooses the refusal.
      *
-     * @param fault why the caller isn't known
-     * @param signAgeMillis how long ago some node was known to read the operators' record, in milliseconds
+     * @param fault why the caller could not be identified
+     * @param heartbeatAgeMillis how long ago some node was known to follow the operators' record, in milliseconds
      * @return the refusal
      */
-    public static Refusal refusal(KeyFault fault, long signAgeMillis) {
-        if (fault == KeyFault.UNKNOWN && signAgeMillis > CERTAIN_MILLIS) {
+    public static Refusal refusal(KeyFault fault, long heartbeatAgeMillis) {
+        if (fault == KeyFault.UNKNOWN && heartbeatAgeMillis > MAX_HEARTBEAT_AGE_MILLIS) {
             return Refusal.notRun(RefusalReason.TEAM_UNCERTAIN, RETRY_MILLIS);
         }
         return Refusal.notRun(RefusalReason.UNAUTHENTICATED, 0);
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/Team.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/Team.java
@@ -7,12 +7,12 @@
  * A group of callers that share API keys, a priority and a rate limit.
  *
  * @param name its name
- * @param priority its rank, 0 the most important; it goes before the route's. Empty if the team has none
- * @param limit how many requests it may send over all nodes; empty if there is no limit
+ * @param priority its priority, 0 being the most important; takes precedence over the route's. Empty if it has none
+ * @param limit its rate limit over all nodes together; empty if there is none
  */
 public record Team(String name, OptionalInt priority, Optional<RateLimit> limit) {
     /**
-     * Creates a team without a priority and a limit.
+     * Creates a team without a priority or a limit.
      *
      * @param name its name
      * @return the team
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/TeamCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/TeamCheck.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * Finds every fault in a list of teams. No fault's wording holds a key.
+ * Validates a list of teams. No reported problem contains a key.
  */
 public final class TeamCheck {
-    /** The highest rate and burst: above it a limit is a typing error, and sums lose whole requests. */
-    private static final double LIMIT_MOST = 1e9;
+    /** Maximum rate and burst: a higher limit is a typing error, and rounding its sums loses whole requests. */
+    private static final double MAX_LIMIT = 1e9;
 
     private TeamCheck() {}
 
@@ -20,7 +20,7 @@
      * Checks teams.
      *
      * @param entries the teams
-     * @return a sentence for each fault; empty when the teams can be used
+     * @return a sentence for each problem; empty when the teams are valid
      */
     public static List<String> problems(List<TeamEntry> entries) {
         List<String> problems = new ArrayList<>();
@@ -52,6 +52,6 @@
     }
 
     private static boolean allowed(double value) {
-        return value >= 0 && value <= LIMIT_MOST;
+        return value >= 0 && value <= MAX_LIMIT;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/TeamDirectory.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/TeamDirectory.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The teams of one configuration and the keys by which their callers are known. Immutable; a key is looked up in
- * constant time.
+ * The teams of one configuration and the keys that identify their callers. Immutable; a key is looked up in constant
+ * time.
  */
 public final class TeamDirectory {
     private final List<TeamEntry> entries;
@@ -49,7 +49,7 @@
      * Finds a team by its name.
      *
      * @param name the name
-     * @return the team, empty if none has the name
+     * @return the team, empty if there is none of that name
      */
     public Optional<Team> named(String name) {
         return Optional.ofNullable(byName.get(name));
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/TeamEntry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/TeamEntry.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A team as the operators list it.
+ * A team with its API keys, as configured by the operators.
  *
  * @param team the team
  * @param keys the digests of its API keys
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/PriorityBandsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/PriorityBandsTest.java
@@ -13,14 +13,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests how much requests matter by the priorities of their teams and routes. */
+/** Tests the importance of requests by the priorities of their teams and routes. */
 final class PriorityBandsTest {
     private static final Team FIRST = team("first", OptionalInt.of(0));
     private static final Team SECOND = team("second", OptionalInt.of(1));
     private static final Team WITHOUT = team("without", OptionalInt.empty());
 
     @Test
-    void followsTheRouteWhereNobodyHasATeam() {
+    void ordersByRouteWhenThereAreNoTeams() {
         PriorityBands bands = PriorityBands.of(List.of(route(0), route(1), route(7)), Optional.empty());
         assertEquals(Importance.LOW, bands.importance(route(7), Optional.empty()));
         assertEquals(Importance.NORMAL, bands.importance(route(1), Optional.empty()));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void putsTheTeamBeforeTheRoute() {
+    void ordersByTeamBeforeRoute() {
         PriorityBands bands = PriorityBands.of(List.of(route(0), route(1)), teams(FIRST, SECOND));
         assertEquals(Importance.LOW, bands.importance(route(1), Optional.of(SECOND)));
         assertEquals(Importance.NORMAL, bands.importance(route(0), Optional.of(SECOND)));
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void neverTurnsAnOrderRound() {
+    void neverInvertsTheOrder() {
         List<Route> routes = List.of(route(0), route(1), route(2), route(3));
         PriorityBands bands = PriorityBands.of(routes, teams(FIRST, SECOND, WITHOUT));
-        Importance above = Importance.HIGH;
+        Importance previous = Importance.HIGH;
         for (Team team : List.of(FIRST, SECOND, WITHOUT)) {
             for (Route route : routes) {
                 Importance importance = bands.importance(route, Optional.of(team));
-                assertTrue(importance.compareTo(above) <= 0, team + " " + route);
-                above = importance;
+                assertTrue(importance.compareTo(previous) <= 0, team + " " + route);
+                previous = importance;
             }
         }
-        assertEquals(Importance.LOW, above);
+        assertEquals(Importance.LOW, previous);
     }
 
     private static Optional<TeamDirectory> teams(Team... teams) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/ReturningCallersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/ReturningCallersTest.java
@@ -9,14 +9,14 @@
     private final ReturningCallers callers = ReturningCallers.create();
 
     @Test
-    void knowsACallerThatCameBackLater() {
+    void recognizesACallerThatRetriesLater() {
         assertEquals(0, callers.waitedMillis("r", 5_000));
         assertEquals(800, callers.waitedMillis("r", 4_200));
         assertEquals(0, callers.waitedMillis("r", 4_999));
     }
 
     @Test
-    void takesOneThatRepeatsAtOnceForANewOne() {
+    void treatsAnImmediateRetryAsANewRequest() {
         callers.waitedMillis("r", 5_000);
         assertEquals(0, callers.waitedMillis("r", 4_950));
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanCheckTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanCheckTest.java
@@ -10,7 +10,7 @@
 /** Tests {@link RoutePlanCheck}. */
 final class RoutePlanCheckTest {
     @Test
-    void namesEveryFaultAtOnce() {
+    void reportsEveryProblemAtOnce() {
         Route bad = new Route(
                 "bad", "h", "files", List.of(new ServiceShare("gone", 0)), RequestKind.DOWNLOAD, 0, 0, 0, 0, false);
         Route good = RoutePlanTest.route("good", "h", "/", "s");
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/PlanKeeperTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanStoreTest.java
@@ -11,42 +11,43 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests {@link PlanKeeper}. */
-final class PlanKeeperTest {
-    private final List<String> told = new ArrayList<>();
-    private final PlanKeeper keeper = PlanKeeper.create(PlanKeeperTest::read, Counters.create(), new Told());
+final class RoutePlanStoreTest {
+    private final List<String> events = new ArrayList<>();
+    private final PlanKeeper store =
+            PlanKeeper.create(RoutePlanStoreTest::read, Counters.create(), new RecordingListener());
 
     @Test
-    void neverGoesBack() {
+    void neverAppliesAnOlderVersion() {
         offer("5");
         offer("3");
         offer("5");
         offer("9");
-        assertEquals(9, keeper.version());
-        assertEquals(List.of("5 after -1", "9 after 5"), told);
+        assertEquals(9, store.version());
+        assertEquals(List.of("5 after -1", "9 after 5"), events);
     }
 
     @Test
-    void keepsTheLastWhenADocumentIsUnusable() {
+    void keepsTheCurrentPlanWhenADocumentIsInvalid() {
         offer("4");
         offer("not a number");
         offer("-7");
-        assertEquals(4, keeper.version());
-        assertEquals(List.of("4 after -1", "rejected 1", "rejected 1"), told);
-        assertEquals("4", new String(keeper.document().orElseThrow().bytes(), StandardCharsets.US_ASCII));
+        assertEquals(4, store.version());
+        assertEquals(List.of("4 after -1", "rejected 1", "rejected 1"), events);
+        assertEquals("4", new String(store.document().orElseThrow().bytes(), StandardCharsets.US_ASCII));
     }
 
     @Test
-    void hasNothingAtFirst() {
-        assertEquals(PlanKeeper.NONE, keeper.version());
-        assertTrue(keeper.plan().isEmpty());
-        assertTrue(keeper.document().isEmpty());
+    void isEmptyAtFirst() {
+        assertEquals(PlanKeeper.NONE, store.version());
+        assertTrue(store.plan().isEmpty());
+        assertTrue(store.document().isEmpty());
     }
 
     private void offer(String document) {
-        keeper.offer(document.getBytes(StandardCharsets.US_ASCII), "test");
+        store.offer(document.getBytes(StandardCharsets.US_ASCII), "test");
     }
 
-    /** Reads a version; a negative one makes a plan with one fault. */
+    /** Parses a version; a negative one yields a plan with one problem. */
     private static RoutePlan read(byte[] document) {
         String text = new String(document, StandardCharsets.US_ASCII);
         if (!text.matches("-?\\d+")) {
@@ -57,16 +58,16 @@
         return RoutePlan.of(Math.abs(version), routes, List.of(), RequestLimits.standard());
     }
 
-    /** Notes what is told. */
-    private final class Told implements PlanKeeper.Listener {
+    /** Records applied plans and rejected documents. */
+    private final class RecordingListener implements PlanKeeper.Listener {
         @Override
         public void applied(RoutePlan plan, long before, String source) {
-            told.add(plan.version() + " after " + before);
+            events.add(plan.version() + " after " + before);
         }
 
         @Override
         public void rejected(String source, List<String> problems) {
-            told.add("rejected " + problems.size());
+            events.add("rejected " + problems.size());
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/SplitCursorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/TrafficSplitterTest.java
@@ -8,28 +8,28 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests {@link SplitCursor}. */
-final class SplitCursorTest {
-    private static final int MOST_OFF = 2;
+final class TrafficSplitterTest {
+    private static final int MAX_DEVIATION = 2;
 
     @Test
-    void keepsCloseToTheWeightsAtEveryLength() {
+    void staysCloseToTheWeightsAtEveryLength() {
         Route route = split(new ServiceShare("a", 90), new ServiceShare("b", 10));
         for (int start : new int[] {0, 1, -5, Integer.MAX_VALUE, 123_456_789}) {
-            SplitCursor cursor = SplitCursor.startingAt(start);
+            SplitCursor splitter = SplitCursor.startingAt(start);
             int minor = 0;
             for (int n = 1; n <= 1_000; n++) {
-                minor += cursor.next(route).equals("b") ? 1 : 0;
-                assertTrue(Math.abs(minor - n / 10.0) <= MOST_OFF, minor + " of " + n + " from " + start);
+                minor += splitter.next(route).equals("b") ? 1 : 0;
+                assertTrue(Math.abs(minor - n / 10.0) <= MAX_DEVIATION, minor + " of " + n + " from " + start);
             }
         }
     }
 
     @Test
-    void givesNothingToAPartWithoutWeight() {
+    void sendsNothingToAShareWithoutWeight() {
         Route route = split(new ServiceShare("a", 0), new ServiceShare("b", 3), new ServiceShare("c", 0));
-        SplitCursor cursor = SplitCursor.startingAt(-1);
+        SplitCursor splitter = SplitCursor.startingAt(-1);
         for (int n = 0; n < 100; n++) {
-            assertEquals("b", cursor.next(route));
+            assertEquals("b", splitter.next(route));
         }
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/team/AuthenticatorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/team/AuthenticatorTest.java
@@ -8,13 +8,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests who is taken for whom. */
+/** Tests {@link Authenticator}. */
 final class AuthenticatorTest {
     private static final TeamDirectory TEAMS =
             TeamDirectory.of(List.of(TeamDirectoryTest.entry("a", "k"), TeamDirectoryTest.entry("b", "l")));
 
     @Test
-    void knowsTheHolderOfAKey() {
+    void identifiesTheHolderOfAKey() {
         assertEquals(new Identity.Known(Team.named("b")), Authenticator.identify(TEAMS, false, List.of("l")));
     }
 
@@ -38,12 +38,12 @@
 
     @Test
     void rejectsAKeyThatIsLongerThanAnyMayBe() {
-        String longKey = "x".repeat(Authenticator.KEY_MOST + 1);
+        String longKey = "x".repeat(Authenticator.MAX_KEY_LENGTH + 1);
         assertEquals(rejected(KeyFault.TOO_LONG), Authenticator.identify(TEAMS, false, List.of(longKey)));
     }
 
     @Test
-    void asksNobodyOnARouteThatIsOpenToAll() {
+    void rejectsNobodyOnARouteThatIsOpenToAll() {
         assertEquals(new Identity.Anonymous(), Authenticator.identify(TEAMS, true, List.of()));
         assertEquals(new Identity.Anonymous(), Authenticator.identify(TEAMS, true, List.of("wrong")));
         assertEquals(new Identity.Known(Team.named("a")), Authenticator.identify(TEAMS, true, List.of("k")));
--- a/kernel/src/test/java/org/verbenadyke/kernel/team/KeyDigestTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/team/KeyDigestTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-/** Tests what stands for a key. */
+/** Tests {@link KeyDigest}. */
 final class KeyDigestTest {
     @Test
     void isTheBeginningOfTheKeysSha256() {
@@ -17,14 +17,14 @@
     }
 
     @Test
-    void readsWhatItWords() {
+    void parsesItsOwnHexForm() {
         KeyDigest digest = KeyDigest.of("some key");
         assertEquals(Optional.of(digest), KeyDigest.parse(digest.hex()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "ba78", "ba7816bf8f01cfea414140de5dae222g", "ba7816bf8f01cfea414140de5dae22233"})
-    void readsNothingElse(String text) {
+    void parsesNothingElse(String text) {
         assertEquals(Optional.empty(), KeyDigest.parse(text));
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/team/RejectionPolicyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/team/RejectionPolicyTest.java
@@ -10,21 +10,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests what callers are told that aren't known. */
+/** Tests the refusals sent to callers that could not be identified. */
 final class RejectionPolicyTest {
-    private static final long FRESH_MILLIS = 100;
+    private static final long RECENT_MILLIS = 100;
     private static final long OLD_MILLIS = 10_000;
 
     @ParameterizedTest
     @EnumSource(KeyFault.class)
-    void refusesForGoodWhileAllKeysAreKnown(KeyFault fault) {
+    void rejectsPermanentlyWhileAllKeysAreKnown(KeyFault fault) {
         assertEquals(
                 RefusalReason.UNAUTHENTICATED,
-                RejectionPolicy.refusal(fault, FRESH_MILLIS).reason());
+                RejectionPolicy.refusal(fault, RECENT_MILLIS).reason());
     }
 
     @Test
-    void asksTheHolderOfAPossiblyNewKeyToComeBack() {
+    void asksTheHolderOfAPossiblyNewKeyToRetry() {
         Refusal refusal = RejectionPolicy.refusal(KeyFault.UNKNOWN, OLD_MILLIS);
         assertEquals(RefusalReason.TEAM_UNCERTAIN, refusal.reason());
         assertEquals(RunState.NOT_RUN, refusal.state());
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @EnumSource(value = KeyFault.class, names = "UNKNOWN", mode = EnumSource.Mode.EXCLUDE)
-    void refusesWhoBringsNoUsableKeyForGoodAtAnyTime(KeyFault fault) {
+    void alwaysRejectsCallersWithoutAUsableKeyPermanently(KeyFault fault) {
         assertEquals(
                 RefusalReason.UNAUTHENTICATED,
                 RejectionPolicy.refusal(fault, OLD_MILLIS).reason());
--- a/kernel/src/test/java/org/verbenadyke/kernel/team/TeamCheckTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/team/TeamCheckTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-/** Tests which lists of teams can be used. */
+/** Tests {@link TeamCheck}. */
 final class TeamCheckTest {
     @Test
     void acceptsTeamsWithKeysOfTheirOwn() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/team/TeamDirectoryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/team/TeamDirectoryTest.java
@@ -8,7 +8,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests finding the team that holds a key. */
+/** Tests {@link TeamDirectory}. */
 final class TeamDirectoryTest {
     private static final int MANY = 10_000;
 
