--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
@@ -18,7 +18,7 @@
     private final Supplier<Link> parent;
     private final CallId call;
     private final AtomicLong tickets = new AtomicLong();
-    private final Map<Long, Consumer<Boolean>> open = new ConcurrentHashMap<>();
+    private final Map<Long, Consumer<Boolean>> pending = new ConcurrentHashMap<>();
     private volatile boolean closed;
 
     private ParentBudget(Supplier<Link> parent, CallId call) {
@@ -40,8 +40,8 @@
     @Override
     public void spend(Consumer<Boolean> decision) {
         long ticket = tickets.incrementAndGet();
-        open.put(ticket, decision);
-        ask(ticket);
+        pending.put(ticket, decision);
+        send(ticket);
         if (closed) {
             granted(ticket, false);
         }
@@ -49,7 +49,7 @@
 
     /** Asks all open questions again, since the link that they went by is gone. */
     public void askAgain() {
-        open.keySet().forEach(this::ask);
+        pending.keySet().forEach(this::send);
     }
 
     /**
@@ -59,20 +59,20 @@
      * @param granted whether the retry may be made
      */
     public void granted(long ticket, boolean granted) {
-        Consumer<Boolean> decision = open.remove(ticket);
+        Consumer<Boolean> decision = pending.remove(ticket);
         if (decision != null) {
             decision.accept(granted);
         }
     }
 
-    private void ask(long ticket) {
+    private void send(long ticket) {
         parent.get().send(new Message.Spend(call, ticket));
     }
 
     /** Denies every open question and all later ones: the call above has ended. */
     public void close() {
         closed = true;
-        for (Long ticket : open.keySet()) {
+        for (Long ticket : pending.keySet()) {
             granted(ticket, false);
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigKeeper.java
@@ -25,13 +25,13 @@
     public static final String STREAM = "configuration";
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long SEEN_MILLIS = 20;
+    private static final long REREAD_MILLIS = 20;
 
     private final Parts parts;
     private final ConfigSettings settings;
-    private final ConfigReader reader = ConfigReader.create();
+    private final ConfigLogReader reader = ConfigLogReader.create();
     private final Serial serial = Serial.create();
-    private final Map<String, Pending> confirming = new HashMap<>();
+    private final Map<String, PendingConfirmation> confirming = new HashMap<>();
     private final AtomicLong readNanos;
     private volatile ConfigState published;
     private volatile boolean synced;
@@ -109,7 +109,7 @@
      */
     public void hear(ConfigState told) {
         serial.run(() -> {
-            reader.hear(told);
+            reader.receive(told);
             publish();
         });
     }
@@ -137,14 +137,14 @@
     }
 
     private void append(ConfigEntry.Change change, Consumer<Confirmed> taker) {
-        Pending pending = new Pending(taker);
+        PendingConfirmation pending = new PendingConfirmation(taker);
         confirming.put(change.id(), pending);
         parts.timers()
                 .after(
                         settings.confirmNanos(),
                         () -> serial.run(() -> {
                             confirming.remove(change.id(), pending);
-                            pending.tell(new Confirmed.Unknown("the log did not show the change in time"));
+                            pending.complete(new Confirmed.Unknown("the log did not show the change in time"));
                         }));
         parts.log()
                 .append(
@@ -160,7 +160,7 @@
                                 case LogService.Appended.Failed f -> {
                                     parts.counters().count(Event.LOG_FAILED);
                                     confirming.remove(change.id(), pending);
-                                    pending.tell(new Confirmed.NotAppended(f.why()));
+                                    pending.complete(new Confirmed.NotAppended(f.why()));
                                 }
                             }
                             read();
@@ -172,11 +172,11 @@
             return;
         }
         reading = true;
-        long wait = closely() ? settings.pollMillis() : 0;
-        parts.log().read(STREAM, reader.nextOffset(), wait, result -> serial.run(() -> taken(result)));
+        long wait = followsClosely() ? settings.pollMillis() : 0;
+        parts.log().read(STREAM, reader.nextOffset(), wait, result -> serial.run(() -> readCompleted(result)));
     }
 
-    private void taken(LogService.Read result) {
+    private void readCompleted(LogService.Read result) {
         reading = false;
         switch (result) {
             case LogService.Read.Records r -> {
@@ -185,21 +185,24 @@
                 r.records().forEach(x -> entries.put(x.offset(), parts.codec().decode(x.bytes())));
                 reader.read(r.firstOffset(), r.nextOffset(), entries);
                 publish();
-                again(r.records().isEmpty() && !closely() ? settings.idleNanos() : SEEN_MILLIS * NANOS_PER_MILLI);
+                scheduleRead(
+                        r.records().isEmpty() && !followsClosely()
+                                ? settings.idleNanos()
+                                : REREAD_MILLIS * NANOS_PER_MILLI);
             }
             case LogService.Read.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
-                again(settings.retryNanos());
+                scheduleRead(settings.retryNanos());
             }
         }
     }
 
-    private void again(long delay) {
+    private void scheduleRead(long delay) {
         long jitter = parts.random().nextLong(delay / 2 + 1);
         parts.timers().after(delay / 2 + jitter, () -> serial.run(this::read));
     }
 
-    private boolean closely() {
+    private boolean followsClosely() {
         return parts.tailing().getAsBoolean() || !confirming.isEmpty() || !reader.synced();
     }
 
@@ -218,7 +221,7 @@
                 .entrySet()
                 .removeIf(e -> published
                         .decision(e.getKey())
-                        .map(d -> e.getValue().tell(Confirmed.of(d)))
+                        .map(d -> e.getValue().complete(Confirmed.of(d)))
                         .orElse(false));
     }
 
@@ -262,17 +265,17 @@
     /**
      * A confirmation under way.
      */
-    private static final class Pending {
+    private static final class PendingConfirmation {
         private final Consumer<Confirmed> taker;
-        private boolean told;
+        private boolean completed;
 
-        private Pending(Consumer<Confirmed> taker) {
+        private PendingConfirmation(Consumer<Confirmed> taker) {
             this.taker = taker;
         }
 
-        boolean tell(Confirmed outcome) {
-            if (!told) {
-                told = true;
+        boolean complete(Confirmed outcome) {
+            if (!completed) {
+                completed = true;
                 taker.accept(outcome);
             }
             return true;
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
@@ -9,9 +9,9 @@
  * force and the entries it reads, until a snapshot or another node tells it the state at a place it can go on from.
  * Used by one thread at a time.
  */
-public final class ConfigReader {
-    private static final int PENDING_MOST = 10_000;
-    private static final int VERSIONS_MOST = 64;
+public final class ConfigLogReader {
+    private static final int MAX_PENDING = 10_000;
+    private static final int MAX_VERSIONS = 64;
 
     private final TreeMap<Long, ConfigEntry> pending = new TreeMap<>();
     private final TreeMap<Long, Configuration> versions = new TreeMap<>();
@@ -20,15 +20,15 @@
     private long nextOffset;
     private long readFrom = -1;
 
-    private ConfigReader() {}
+    private ConfigLogReader() {}
 
     /**
      * Creates a reader that knows nothing.
      *
      * @return the reader
      */
-    public static ConfigReader create() {
-        return new ConfigReader();
+    public static ConfigLogReader create() {
+        return new ConfigLogReader();
     }
 
     /**
@@ -97,9 +97,9 @@
      *
      * @param told the state
      */
-    public void hear(ConfigState told) {
+    public void receive(ConfigState told) {
         boolean newer = state == null || told.version() > state.version();
-        boolean mends = !synced && state != null && told.version() == state.version() && goesOnFrom(told);
+        boolean mends = !synced && state != null && told.version() == state.version() && continuesFrom(told);
         if (!newer && !mends) {
             return;
         }
@@ -109,14 +109,14 @@
             readFrom = nextOffset;
             pending.clear();
         }
-        synced = goesOnFrom(told);
+        synced = continuesFrom(told);
         if (synced) {
             pending.tailMap(told.offset() + 1).forEach((offset, entry) -> adopt(state.after(offset, entry)));
             pending.clear();
         }
     }
 
-    private boolean goesOnFrom(ConfigState told) {
+    private boolean continuesFrom(ConfigState told) {
         return readFrom <= told.offset() + 1;
     }
 
@@ -126,19 +126,19 @@
             return;
         }
         pending.put(offset, entry);
-        if (pending.size() > PENDING_MOST) {
+        if (pending.size() > MAX_PENDING) {
             pending.pollFirstEntry();
             readFrom = pending.firstKey();
         }
         if (entry instanceof ConfigEntry.Snapshot s) {
-            hear(s.state());
+            receive(s.state());
         }
     }
 
     private void adopt(ConfigState next) {
         state = next;
         versions.put(next.version(), next.configuration());
-        if (versions.size() > VERSIONS_MOST) {
+        if (versions.size() > MAX_VERSIONS) {
             versions.pollFirstEntry();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
@@ -12,7 +12,7 @@
  * @param decisions what became of the latest changes, oldest first
  */
 public record ConfigState(Configuration configuration, long offset, List<Decision> decisions) {
-    private static final int DECISIONS_MOST = 16;
+    private static final int MAX_DECISIONS = 16;
 
     /**
      * Returns the state before the first change.
@@ -52,7 +52,7 @@
                 new Decision(change.id(), wins, wins ? version() + 1 : version(), change.author(), change.atMillis());
         List<Decision> all = new ArrayList<>(decisions);
         all.add(decision);
-        List<Decision> kept = all.subList(Math.max(0, all.size() - DECISIONS_MOST), all.size());
+        List<Decision> kept = all.subList(Math.max(0, all.size() - MAX_DECISIONS), all.size());
         return new ConfigState(wins ? change.result() : configuration, at, List.copyOf(kept));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/Configuration.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/Configuration.java
@@ -15,7 +15,7 @@
  */
 public record Configuration(long version, int retries, List<ImportanceRule> rules, Set<String> leaving) {
     /** The most retries that may be allowed. */
-    public static final int RETRIES_MOST = 10;
+    public static final int MAX_RETRIES = 10;
 
     private static final int DEFAULT_RETRIES = 2;
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
@@ -28,12 +28,12 @@
         }
         for (ImportanceRule rule : from.rules()) {
             if (!to.rules().contains(rule)) {
-                lines.add("- rule " + words(rule));
+                lines.add("- rule " + describe(rule));
             }
         }
         for (ImportanceRule rule : to.rules()) {
             if (!from.rules().contains(rule)) {
-                lines.add("+ rule " + words(rule));
+                lines.add("+ rule " + describe(rule));
             }
         }
         for (String node : new TreeSet<>(from.leaving())) {
@@ -55,7 +55,7 @@
      * @param rule the rule
      * @return service, method, path and importance
      */
-    public static String words(ImportanceRule rule) {
+    public static String describe(ImportanceRule rule) {
         return rule.service() + " " + rule.method() + " " + rule.pathPrefix() + " "
                 + rule.importance().name().toLowerCase(Locale.ROOT);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Planner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/Planner.java
@@ -16,7 +16,7 @@
  * Turns intents into a plan.
  */
 public final class Planner {
-    private static final double LOAD_HIGH = 0.8;
+    private static final double HIGH_LOAD = 0.8;
     private static final int PERCENT = 100;
     private static final String ANY = "*";
 
@@ -58,70 +58,70 @@
      */
     public static Plan undo(String id, Configuration base, Configuration earlier, List<ServiceView> services) {
         Planner planner = new Planner(id, base, services);
-        return planner.toward(
+        return planner.planFor(
                 new Configuration(base.version() + 1, earlier.retries(), earlier.rules(), earlier.leaving()));
     }
 
     private Plan plan(Intents intents) {
         int retries = intents.retries().orElse(base.retries());
-        if (retries < 0 || retries > Configuration.RETRIES_MOST) {
-            problem(ErrorCode.INTENT_OUT_OF_BOUNDS, "retries", retries, "0 to " + Configuration.RETRIES_MOST);
+        if (retries < 0 || retries > Configuration.MAX_RETRIES) {
+            addProblem(ErrorCode.INTENT_OUT_OF_BOUNDS, "retries", retries, "0 to " + Configuration.MAX_RETRIES);
         }
         List<ImportanceRule> rules = intents.rules().orElse(base.rules());
         Set<String> known = services.stream().map(ServiceView::service).collect(Collectors.toSet());
         for (ImportanceRule rule : rules) {
             if (!rule.service().equals(ANY) && !known.contains(rule.service())) {
-                problem(ErrorCode.INTENT_UNKNOWN_TARGET, "service " + rule.service());
+                addProblem(ErrorCode.INTENT_UNKNOWN_TARGET, "service " + rule.service());
             }
         }
         Set<String> leaving = new TreeSet<>(base.leaving());
         intents.back().forEach(node -> {
             if (!leaving.remove(node)) {
-                problem(ErrorCode.INTENT_UNKNOWN_TARGET, "leaving upstream " + node);
+                addProblem(ErrorCode.INTENT_UNKNOWN_TARGET, "leaving upstream " + node);
             }
         });
         intents.leave().forEach(node -> {
-            if (services.stream().noneMatch(s -> holds(s, node))) {
-                problem(ErrorCode.INTENT_UNKNOWN_TARGET, "upstream " + node);
+            if (services.stream().noneMatch(s -> hasMember(s, node))) {
+                addProblem(ErrorCode.INTENT_UNKNOWN_TARGET, "upstream " + node);
             }
             leaving.add(node);
         });
         if (!problems.isEmpty()) {
             throw PlanProblems.of(problems);
         }
-        return toward(new Configuration(base.version() + 1, retries, List.copyOf(rules), Set.copyOf(leaving)));
+        return planFor(new Configuration(base.version() + 1, retries, List.copyOf(rules), Set.copyOf(leaving)));
     }
 
-    private Plan toward(Configuration next) {
+    private Plan planFor(Configuration next) {
         List<String> differences = Differences.between(base, next);
-        shadows(next.rules());
-        services.forEach(s -> capacity(s, next));
+        reportShadowedRules(next.rules());
+        services.forEach(s -> reportCapacity(s, next));
         if (differences.isEmpty()) {
             consequences.add("nothing changes");
         }
         return new Plan(id, base.version(), next, differences, List.copyOf(consequences), List.copyOf(risks));
     }
 
-    private void shadows(List<ImportanceRule> rules) {
+    private void reportShadowedRules(List<ImportanceRule> rules) {
         for (int i = 0; i < rules.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
-                    consequences.add("rule " + Differences.words(rules.get(i)) + " never decides: rule "
-                            + Differences.words(rules.get(j)) + " stands before it and covers it");
+                    consequences.add("rule " + Differences.describe(rules.get(i)) + " never decides: rule "
+                            + Differences.describe(rules.get(j)) + " stands before it and covers it");
                     break;
                 }
             }
         }
     }
 
-    private void capacity(ServiceView service, Configuration next) {
+    private void reportCapacity(ServiceView service, Configuration next) {
         long before = service.members().stream().filter(m -> takesWork(m, base)).count();
         long after = service.members().stream().filter(m -> takesWork(m, next)).count();
         if (before == after) {
             return;
         }
         consequences.add(service.service() + ": " + after + " of "
-                + service.members().size() + " upstreams take work" + load(service, before, after));
+                + service.members().size() + " upstreams take work" + describeLoad(service, before, after));
         for (String dataCentre : dataCentres(service)) {
             long left = service.members().stream()
                     .filter(m -> m.dataCentre().equals(dataCentre) && takesWork(m, next))
@@ -139,7 +139,7 @@
         }
     }
 
-    private String load(ServiceView service, long before, long after) {
+    private String describeLoad(ServiceView service, long before, long after) {
         if (service.load().isEmpty() || after == 0) {
             return ", load not known";
         }
@@ -149,7 +149,7 @@
                 ", load %d%% -> %d%%",
                 Math.round(service.load().getAsDouble() * PERCENT),
                 Math.round(expected * PERCENT));
-        return expected > LOAD_HIGH ? words + ", more than can be carried with ease" : words;
+        return expected > HIGH_LOAD ? words + ", more than can be carried with ease" : words;
     }
 
     private static Set<String> dataCentres(ServiceView service) {
@@ -162,11 +162,11 @@
         return member.takesWork() && !configuration.leaving().contains(member.node());
     }
 
-    private static boolean holds(ServiceView service, String node) {
+    private static boolean hasMember(ServiceView service, String node) {
         return service.members().stream().anyMatch(m -> m.node().equals(node));
     }
 
-    private void problem(ErrorCode code, Object... arguments) {
+    private void addProblem(ErrorCode code, Object... arguments) {
         problems.add(VerbenadykeException.describe(code, arguments));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/TurnPacing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/TurnPacing.java
@@ -16,21 +16,21 @@
      * The rest between two turns in nanoseconds: the longest that still served a calm day as before (4 ms cost 1.7 % of
      * its credit), and little against target latencies of a hundred milliseconds and more.
      */
-    public static final long REST_NANOS = 2_000_000L;
+    public static final long PAUSE_NANOS = 2_000_000L;
 
     /**
      * Turns closer than this on the average, in nanoseconds, make a loop busy: at twice the rest, a rest is expected to
      * gather at least one more event.
      */
-    static final long BUSY_NANOS = 2 * REST_NANOS;
+    static final long BUSY_NANOS = 2 * PAUSE_NANOS;
 
     /** Weight of the newest gap in the average: a burst counts after some turns, and a quiet moment ends it at once. */
     private static final double SMOOTHING = 0.125;
 
     /** The longest gap that counts, in nanoseconds, so that a busy time after a long quiet one is soon noticed. */
-    private static final double GAP_MOST = 10.0 * REST_NANOS;
+    private static final double MAX_GAP_NANOS = 10.0 * PAUSE_NANOS;
 
-    private double gapNanos = GAP_MOST;
+    private double gapNanos = MAX_GAP_NANOS;
     private long lastNanos = Long.MIN_VALUE;
 
     private TurnPacing() {}
@@ -52,10 +52,10 @@
      */
     public long turnEnded(long nowNanos) {
         if (lastNanos != Long.MIN_VALUE) {
-            double gap = Math.min(GAP_MOST, nowNanos - lastNanos);
+            double gap = Math.min(MAX_GAP_NANOS, nowNanos - lastNanos);
             gapNanos += SMOOTHING * (gap - gapNanos);
         }
         lastNanos = nowNanos;
-        return gapNanos < BUSY_NANOS ? REST_NANOS : 0;
+        return gapNanos < BUSY_NANOS ? PAUSE_NANOS : 0;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/LineBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/LineBudget.java
@@ -16,12 +16,12 @@
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final TimerService timers;
-    private final int linesMost;
-    private final Map<String, Second> seconds = new ConcurrentHashMap<>();
+    private final int maxLines;
+    private final Map<String, Window> seconds = new ConcurrentHashMap<>();
 
     private LineBudget(TimerService timers, int linesMost) {
         this.timers = timers;
-        this.linesMost = linesMost;
+        this.maxLines = linesMost;
     }
 
     /**
@@ -43,31 +43,31 @@
      */
     public int take(String kind) {
         long now = timers.nanos();
-        Second second = seconds.computeIfAbsent(kind, k -> new Second(now));
-        return second.take(now, linesMost);
+        Window second = seconds.computeIfAbsent(kind, k -> new Window(now));
+        return second.take(now, maxLines);
     }
 
     /** The lines of one kind in the current second. */
-    private static final class Second {
-        private final AtomicInteger left = new AtomicInteger();
-        private long begun;
+    private static final class Window {
+        private final AtomicInteger suppressed = new AtomicInteger();
+        private long startNanos;
         private int lines;
 
-        private Second(long now) {
-            begun = now;
+        private Window(long now) {
+            startNanos = now;
         }
 
         synchronized int take(long now, int most) {
-            if (now - begun >= SECOND_NANOS) {
-                begun = now;
+            if (now - startNanos >= SECOND_NANOS) {
+                startNanos = now;
                 lines = 0;
             }
             if (lines >= most) {
-                left.incrementAndGet();
+                suppressed.incrementAndGet();
                 return -1;
             }
             lines++;
-            return left.getAndSet(0);
+            return suppressed.getAndSet(0);
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/WrittenOutEqualityTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/ExplicitEqualityTest.java
@@ -17,7 +17,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 /** Tests that records whose equality is written out compare every component. */
-final class WrittenOutEqualityTest {
+final class ExplicitEqualityTest {
     private static final Endpoint HERE = new Endpoint("h", 1);
     private static final Endpoint THERE = new Endpoint("h", 2);
     private static final Place PLACE = new Place("r", "d");
@@ -52,7 +52,7 @@
 
     @ParameterizedTest
     @MethodSource("different")
-    void tellsEachComponentApart(List<Object> values) {
+    void differsInEachComponent(List<Object> values) {
         for (Object value : values.subList(1, values.size())) {
             assertNotEquals(values.get(0), value);
         }
@@ -60,7 +60,7 @@
 
     @ParameterizedTest
     @MethodSource("different")
-    void findsEqualOnesEqual(List<Object> values) {
+    void equalRecordsAreEqual(List<Object> values) {
         Object copy = different()
                 .filter(l -> l.get(0).getClass() == values.get(0).getClass())
                 .findFirst()
--- a/kernel/src/test/java/org/verbenadyke/kernel/KernelArchitectureTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/KernelArchitectureTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void takesTimeAndChanceFromOutside() {
+    void readsNoClockAndNoGlobalRandomness() {
         noClasses()
                 .should()
                 .callMethod(System.class, "nanoTime")
--- a/kernel/src/test/java/org/verbenadyke/kernel/budget/RatioBudgetTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/budget/RatioBudgetTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    public void allowsAShareOfTheSuccesses() {
+    public void allowsRetriesInProportionToSuccesses() {
         RatioBudget budget = RatioBudget.of(0.1, 1);
         assertTrue(budget.take());
         for (int i = 0; i < 9; i++) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/budget/RootBudgetTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/budget/RootBudgetTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void givesEachRetryOnce() {
+    public void grantsEachRetryOnce() {
         RootBudget budget = RootBudget.of(2);
         assertTrue(budget.take());
         assertTrue(budget.take());
--- a/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialExecutorTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /** Tests {@link Serial}. */
-public class SerialTest {
+public class SerialExecutorTest {
     private final Serial serial = Serial.create();
     private int plain;
 
@@ -38,6 +38,6 @@
                 .invocationsPerIteration(1000)
                 .threads(3)
                 .actorsPerThread(2)
-                .check(SerialTest.class);
+                .check(SerialExecutorTest.class);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigReaderTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigLogReaderTest.java
@@ -11,12 +11,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link ConfigReader} and the fold in {@link ConfigState}. */
-final class ConfigReaderTest {
-    private final ConfigReader reader = ConfigReader.create();
+/** Tests {@link ConfigLogReader} and the fold in {@link ConfigState}. */
+final class ConfigLogReaderTest {
+    private final ConfigLogReader reader = ConfigLogReader.create();
 
     @Test
-    void ofTwoChangesOnOneBaseTheFirstWinsEverywhere() {
+    void theFirstOfTwoChangesWithTheSameBaseTakesEffect() {
         reader.read(0, 2, log(0, change("a", 0, 5), change("b", 0, 7)));
         assertEquals(5, retries());
         assertTrue(decision("a").won());
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aChangeThatStandsTwiceCountsOnce() {
+    void aChangeAppendedTwiceCountsOnce() {
         reader.read(0, 3, log(0, change("a", 0, 5), change("a", 0, 5), change("c", 1, 6)));
         assertEquals(2, version());
         assertTrue(decision("a").won());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void goesOnFromASnapshotWhenTheFirstEntriesAreGone() {
+    void continuesFromASnapshotWhenTheFirstEntriesAreGone() {
         ConfigState at10 = new ConfigState(new Configuration(7, 3, List.of(), Set.of()), 10, List.of());
         reader.read(11, 14, log(11, change("x", 7, 4), new ConfigEntry.Snapshot(at10), change("y", 8, 6)));
         assertEquals(9, version());
@@ -46,26 +46,26 @@
     }
 
     @Test
-    void judgesNothingAcrossAGap() {
+    void appliesNothingAcrossAGap() {
         reader.read(0, 1, log(0, change("a", 0, 5)));
         reader.read(40, 41, log(40, change("late", 1, 9)));
         assertEquals(1, version());
         assertFalse(reader.synced());
-        reader.hear(new ConfigState(new Configuration(6, 2, List.of(), Set.of()), 39, List.of()));
+        reader.receive(new ConfigState(new Configuration(6, 2, List.of(), Set.of()), 39, List.of()));
         assertEquals(6, version());
         assertTrue(reader.synced());
     }
 
     @Test
-    void neverGoesBackForAStalePeer() {
+    void ignoresTheOlderStateOfAStalePeer() {
         reader.read(0, 2, log(0, change("a", 0, 5), change("b", 1, 6)));
-        reader.hear(new ConfigState(new Configuration(1, 5, List.of(), Set.of()), 0, List.of()));
+        reader.receive(new ConfigState(new Configuration(1, 5, List.of(), Set.of()), 0, List.of()));
         assertEquals(2, version());
     }
 
     @Test
-    void takesTheNewestThatAPeerHasWhenTheLogIsDown() {
-        reader.hear(new ConfigState(new Configuration(3, 1, List.of(), Set.of()), 20, List.of()));
+    void adoptsTheStateOfAPeerWhenTheLogIsDown() {
+        reader.receive(new ConfigState(new Configuration(3, 1, List.of(), Set.of()), 20, List.of()));
         assertEquals(3, version());
         assertEquals(21, reader.nextOffset());
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/log/LogEpochTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/log/LogEpochTest.java
@@ -10,30 +10,30 @@
 /** Tests {@link LogEpoch}. */
 final class LogEpochTest {
     private final LogEpoch epoch = LogEpoch.unknown();
-    private final List<String> told = new ArrayList<>();
+    private final List<String> replacements = new ArrayList<>();
 
     LogEpochTest() {
-        epoch.onReplaced((before, now) -> told.add(before + " to " + now));
+        epoch.onReplaced((before, now) -> replacements.add(before + " to " + now));
     }
 
     @Test
-    void takesTheFirstEpochAsItIs() {
+    void acceptsTheFirstEpoch() {
         assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(LogEpoch.UNNAMED, 7));
         assertEquals(7, epoch.current());
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), replacements);
     }
 
     @Test
-    void tellsEachReplacementOnce() {
+    void reportsEachReplacementOnce() {
         epoch.answered(0, 7);
         assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(7, 8));
         assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(7, 8));
         assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(8, 9));
-        assertEquals(List.of("7 to 8", "8 to 9"), told);
+        assertEquals(List.of("7 to 8", "8 to 9"), replacements);
     }
 
     @Test
-    void countsALateAnswerOfTheHistoryBeforeForNothing() {
+    void rejectsALateAnswerOfThePreviousHistory() {
         epoch.answered(0, 7);
         epoch.answered(7, 8);
         assertEquals(LogEpoch.Verdict.OUTDATED, epoch.answered(7, 7));
@@ -41,30 +41,30 @@
     }
 
     @Test
-    void takesAnEpochThatGoesBackwardsForAnotherHistory() {
+    void treatsAnEpochThatGoesBackwardsAsANewHistory() {
         epoch.answered(0, 7);
         assertEquals(LogEpoch.Verdict.BACKWARDS, epoch.answered(7, 3));
         assertEquals(3, epoch.current());
-        assertEquals(List.of("7 to 3"), told);
+        assertEquals(List.of("7 to 3"), replacements);
     }
 
     @Test
-    void learnsNothingFromAnAnswerThatNamesNone() {
+    void ignoresAnswersWithoutAnEpoch() {
         epoch.answered(0, 7);
         assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(7, LogEpoch.UNNAMED));
         assertEquals(7, epoch.current());
     }
 
     @Test
-    void tellsTheFirstReplacementOfALogThatNamedNoneBefore() {
+    void reportsTheFirstEpochOfALogThatNamedNoneBefore() {
         epoch.answered(0, LogEpoch.UNNAMED);
         assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(0, 1));
     }
 
     @Test
-    void servesALogThatNamesNone() {
+    void supportsALogWithoutEpochs() {
         assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(0, LogEpoch.UNNAMED));
         assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(0, LogEpoch.UNNAMED));
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), replacements);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/TurnPacingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/EventLoopPacingTest.java
@@ -8,16 +8,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests {@link TurnPacing}. */
-final class TurnPacingTest {
+final class EventLoopPacingTest {
     private static final long MILLI = 1_000_000L;
 
     /** What a wake-up costs beside its events, and what each event costs, in nanoseconds: measured, rounded. */
-    private static final long WAKE_UP = 60_000L;
+    private static final long WAKE_UP_NANOS = 60_000L;
 
-    private static final long EVENT = 15_000L;
+    private static final long EVENT_NANOS = 15_000L;
 
     @Test
-    void neverRestsWhenTurnsAreFarApart() {
+    void neverPausesWhenIterationsAreFarApart() {
         TurnPacing pacing = TurnPacing.quiet();
         for (long t = 0; t < 100; t++) {
             assertEquals(0, pacing.turnEnded(t * 10 * MILLI));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void twoEventsInARowDontMakeALoopBusy() {
+    void pairsOfCloseEventsDoNotMakeALoopBusy() {
         TurnPacing pacing = TurnPacing.quiet();
         for (long t = 0; t < 100; t++) {
             assertEquals(0, pacing.turnEnded(t * 10 * MILLI));
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void restsUnderLoadAndStopsWhenItIsOver() {
+    void pausesUnderLoadAndStopsWhenItIsOver() {
         TurnPacing pacing = TurnPacing.quiet();
         long now = 0;
         for (int i = 0; i < 20; i++) {
             now += MILLI / 2;
             pacing.turnEnded(now);
         }
-        assertEquals(TurnPacing.REST_NANOS, pacing.turnEnded(now + MILLI / 2));
+        assertEquals(TurnPacing.PAUSE_NANOS, pacing.turnEnded(now + MILLI / 2));
         now += 20 * MILLI;
         pacing.turnEnded(now);
         assertEquals(0, pacing.turnEnded(now + 20 * MILLI));
@@ -49,15 +49,15 @@
 
     /** Replays a node's events under a heavy load: some thousand a second, at random moments. */
     @Test
-    void halvesWhatABusyNodeCosts() {
+    void halvesTheProcessorTimeOfABusyNode() {
         Replay without = replay(3_000, false);
         Replay with = replay(3_000, true);
         assertTrue(with.busyNanos() < without.busyNanos() / 2, with + " against " + without);
-        assertTrue(with.longestWaitNanos() < 3 * TurnPacing.REST_NANOS, with.toString());
+        assertTrue(with.longestWaitNanos() < 3 * TurnPacing.PAUSE_NANOS, with.toString());
     }
 
     @Test
-    void leavesAQuietNodesEventsAlone() {
+    void doesNotDelayEventsOfAnIdleNode() {
         assertEquals(replay(50, false), replay(50, true));
     }
 
@@ -71,13 +71,13 @@
         long longest = 0;
         while (now < 5_000 * MILLI) {
             now = Math.max(now, next);
-            now += WAKE_UP;
-            busy += WAKE_UP;
+            now += WAKE_UP_NANOS;
+            busy += WAKE_UP_NANOS;
             while (next <= now) {
                 longest = Math.max(longest, now - next);
                 next += (long) (-Math.log(1 - random.nextDouble()) * meanGap);
-                now += EVENT;
-                busy += EVENT;
+                now += EVENT_NANOS;
+                busy += EVENT_NANOS;
             }
             now += paced ? pacing.turnEnded(now) : 0;
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/PeriodicTaskTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/PeriodicTaskTest.java
@@ -13,7 +13,7 @@
     private final List<Long> runs = new ArrayList<>();
 
     @Test
-    void runsAtTheMultiplesWheneverItBegan() {
+    void runsAtMultiplesOfThePeriodWheneverItStarted() {
         clock.advance(130);
         PeriodicTask.aligned(clock, 0, 100, () -> runs.add(clock.nanos()));
         clock.advance(300);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void sharesItsWakeUpsWithATaskWhosePeriodDividesItsOwn() {
+    void sharesWakeUpsWithATaskWhosePeriodDividesItsOwn() {
         PeriodicTask.aligned(clock, 0, 50, () -> runs.add(clock.nanos()));
         clock.advance(70);
         PeriodicTask.aligned(clock, 0, 100, () -> runs.add(clock.nanos()));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void endsWhenItIsCancelled() {
+    void stopsWhenCancelled() {
         Subscription task = PeriodicTask.aligned(clock, 0, 100, () -> runs.add(clock.nanos()));
         clock.advance(100);
         task.cancel();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void goesOnAfterAFailure() {
+    void continuesAfterAFailure() {
         PeriodicTask.aligned(clock, 0, 100, () -> {
             runs.add(clock.nanos());
             throw new IllegalStateException("once");
