--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Inbound.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/InboundRequest.java
@@ -12,7 +12,7 @@
  * @param key the idempotency key, empty if none
  * @param ttlNanos the caller's timeout in nanoseconds, if the request states one
  */
-public record Inbound(String service, Message.Content content, String key, Optional<Long> ttlNanos) {
+public record InboundRequest(String service, Message.Content content, String key, Optional<Long> ttlNanos) {
     /**
      * Returns whether the method allows the request to run more than once.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/EndGossip.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-import org.verbenadyke.kernel.concurrent.Serial;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
-import org.verbenadyke.kernel.quarantine.UpstreamEnd;
+import org.verbenadyke.kernel.quarantine.UpstreamCrash;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
 
@@ -34,19 +34,19 @@
     private final String self;
     private final TimerService timers;
     private final GossipSettings settings;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final MemberTable table;
     private final PeerChoice peers;
     private final Quarantine quarantine;
     private final BiConsumer<Endpoint, GossipMessage> port;
-    private final List<UpstreamEnd> fresh = new ArrayList<>();
+    private final List<UpstreamCrash> fresh = new ArrayList<>();
     private long comparedNanos;
 
     EndGossip(
             String self,
             Gossip.Parts parts,
             GossipSettings settings,
-            Serial serial,
+            SerialExecutor serial,
             PeerChoice peers,
             BiConsumer<Endpoint, GossipMessage> port) {
         this.self = self;
@@ -66,11 +66,12 @@
     }
 
     /** Takes what another node tells. */
-    void take(GossipMessage.Ends ends) {
+    void take(GossipMessage.CrashReports ends) {
         long now = timers.nanos();
-        for (EndReport r : ends.reports()) {
+        for (CrashReport r : ends.reports()) {
             long at = now - r.ageMillis() * NANOS_PER_MILLI;
-            r.requests().forEach(d -> quarantine.hear(new UpstreamEnd(d, r.upstream(), r.cleared(), at, ends.from())));
+            r.requests()
+                    .forEach(d -> quarantine.hear(new UpstreamCrash(d, r.upstream(), r.cleared(), at, ends.from())));
         }
     }
 
@@ -79,7 +80,7 @@
         long now = timers.nanos();
         if (theirs != quarantine.fingerprint() && now - comparedNanos >= COMPARE_NANOS) {
             comparedNanos = now;
-            datagrams(quarantine.ends(COMPARED_MOST)).forEach(m -> port.accept(from, m));
+            datagrams(quarantine.crashes(COMPARED_MOST)).forEach(m -> port.accept(from, m));
         }
     }
 
@@ -91,7 +92,7 @@
         quarantine.sweep();
     }
 
-    private void learned(UpstreamEnd end) {
+    private void learned(UpstreamCrash end) {
         fresh.add(end);
         if (fresh.size() == 1) {
             timers.after(settings.pushNanos(), () -> serial.run(this::push));
@@ -99,30 +100,30 @@
     }
 
     private void push() {
-        List<GossipMessage.Ends> news = datagrams(fresh);
+        List<GossipMessage.CrashReports> news = datagrams(fresh);
         fresh.clear();
         peers.draw(table.present(), settings.fanOut()).forEach(r -> news.forEach(m -> port.accept(r.endpoint(), m)));
     }
 
     /** Words ends as datagrams of a bounded size, those of one upstream together. */
-    private List<GossipMessage.Ends> datagrams(List<UpstreamEnd> ends) {
-        List<GossipMessage.Ends> datagrams = new ArrayList<>();
+    private List<GossipMessage.CrashReports> datagrams(List<UpstreamCrash> ends) {
+        List<GossipMessage.CrashReports> datagrams = new ArrayList<>();
         for (int i = 0; i < ends.size(); i += DIGESTS_MOST) {
-            List<UpstreamEnd> part = ends.subList(i, Math.min(ends.size(), i + DIGESTS_MOST));
-            datagrams.add(new GossipMessage.Ends(self, reports(part)));
+            List<UpstreamCrash> part = ends.subList(i, Math.min(ends.size(), i + DIGESTS_MOST));
+            datagrams.add(new GossipMessage.CrashReports(self, reports(part)));
         }
         return datagrams;
     }
 
-    private List<EndReport> reports(List<UpstreamEnd> ends) {
+    private List<CrashReport> reports(List<UpstreamCrash> ends) {
         long now = timers.nanos();
-        Map<Group, EndReport> byUpstream = new LinkedHashMap<>();
-        for (UpstreamEnd e : ends) {
+        Map<Group, CrashReport> byUpstream = new LinkedHashMap<>();
+        for (UpstreamCrash e : ends) {
             int age = (int) ((now - e.atNanos()) / NANOS_PER_MILLI);
             byUpstream
                     .computeIfAbsent(
                             new Group(e.upstream(), e.cleared()),
-                            g -> new EndReport(g.upstream(), g.cleared(), age, new ArrayList<RequestDigest>()))
+                            g -> new CrashReport(g.upstream(), g.cleared(), age, new ArrayList<RequestDigest>()))
                     .requests()
                     .add(e.request());
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.verbenadyke.kernel.config.ConfigState;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
@@ -15,30 +15,30 @@
      *
      * @param from the sender's name
      * @param ticket numbers the message; 0 when no answer is wanted
-     * @param view what the sender knows, in short
-     * @param news records that changed lately
+     * @param summary what the sender knows, in short
+     * @param updates records that changed lately
      */
-    record Rumor(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
+    record Rumor(String from, long ticket, Summary summary, List<MemberRecord> updates) implements GossipMessage {}
 
     /**
      * Answers a {@link Rumor}.
      *
      * @param from the sender's name
      * @param ticket the rumor's number
-     * @param view what the sender knows, in short
-     * @param news records that changed lately
+     * @param summary what the sender knows, in short
+     * @param updates records that changed lately
      */
-    record Ack(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
+    record Ack(String from, long ticket, Summary summary, List<MemberRecord> updates) implements GossipMessage {}
 
     /**
      * Asks another node to check a third one.
      *
      * @param from the sender's name
      * @param ticket numbers the check
-     * @param asker where the asking node listens
+     * @param requester where the asking node listens
      * @param target where the third node listens
      */
-    record Probe(String from, long ticket, Endpoint asker, Endpoint target) implements GossipMessage {}
+    record Probe(String from, long ticket, Endpoint requester, Endpoint target) implements GossipMessage {}
 
     /**
      * Passes on that the third node answered.
@@ -51,10 +51,10 @@
      * Compares two tables that differ.
      *
      * @param from the sender's name
-     * @param answer whether the receiver is to send its own digests back
+     * @param replyRequested whether the receiver is to send its own digests back
      * @param digests one hash a bucket
      */
-    record Buckets(String from, boolean answer, List<Long> digests) implements GossipMessage {}
+    record Buckets(String from, boolean replyRequested, List<Long> digests) implements GossipMessage {}
 
     /**
      * Brings records of buckets that differ.
@@ -68,14 +68,14 @@
      *
      * @param from the sender's name
      */
-    record ConfigWanted(String from) implements GossipMessage {}
+    record ConfigRequest(String from) implements GossipMessage {}
 
     /**
      * Brings the configuration.
      *
      * @param state the configuration and where on the log it stands
      */
-    record ConfigNews(ConfigState state) implements GossipMessage {}
+    record ConfigUpdate(ConfigState state) implements GossipMessage {}
 
     /**
      * Tells of upstreams that ended, and of what they had.
@@ -83,7 +83,7 @@
      * @param from the sender's name
      * @param reports what the sender knows, or a part of it
      */
-    record Ends(String from, List<EndReport> reports) implements GossipMessage {}
+    record CrashReports(String from, List<CrashReport> reports) implements GossipMessage {}
 
     /**
      * What a node knows, in short.
@@ -91,8 +91,8 @@
      * @param digest a hash of its member table
      * @param configVersion the version of its configuration
      * @param planVersion the version of its routes, -1 if it has none
-     * @param followedMillis how long ago some node was known to read the operators' record, in milliseconds
-     * @param endsFingerprint a hash of what it knows of upstreams that ended
+     * @param followerAgeMillis how long ago some node was known to read the operators' record, in milliseconds
+     * @param crashesFingerprint a hash of what it knows of upstreams that ended
      */
-    record View(long digest, long configVersion, long planVersion, int followedMillis, long endsFingerprint) {}
+    record Summary(long digest, long configVersion, long planVersion, int followerAgeMillis, long crashesFingerprint) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerChoice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerChoice.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Chooses whom to tell: mostly nodes of the own data centre, now and then one elsewhere.
@@ -13,10 +13,10 @@
     private static final int ELSEWHERE_ONE_IN = 4;
 
     private final String self;
-    private final Place place;
+    private final Location place;
     private final RandomGenerator random;
 
-    PeerChoice(String self, Place place, RandomGenerator random) {
+    PeerChoice(String self, Location place, RandomGenerator random) {
         this.self = self;
         this.place = place;
         this.random = random;
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
@@ -10,7 +10,7 @@
 /**
  * Records the ids of attempts that arrived or were sealed, so that each attempt starts at most once. An id is retained
  * for at least one generation; after that, the limit on the age of a call refuses any copy of it. An unknown id proves
- * that the attempt never arrived only if {@link #reachesBackTo} covers the time at which it was sent. Thread-safe.
+ * that the attempt never arrived only if {@link #coversSince} covers the time at which it was sent. Thread-safe.
  */
 public final class SeenCalls {
     private final AtomicReference<Generations> generations;
@@ -57,7 +57,7 @@
      *
      * @param id the attempt
      */
-    public void neverRuns(CallId id) {
+    public void markNeverRuns(CallId id) {
         generations.get().current().markNeverRuns(id);
     }
 
@@ -78,7 +78,7 @@
      * @param nanos the time, on the local clock
      * @return whether an unknown id cannot have arrived since then
      */
-    public boolean reachesBackTo(long nanos) {
+    public boolean coversSince(long nanos) {
         return generations.get().previous().coversSince(nanos);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeptAnswer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/StoredOutcome.java
@@ -9,7 +9,7 @@
 /**
  * The outcome of a call that may run only once, stored so that later tries of the same call get it too.
  */
-public sealed interface KeptAnswer {
+public sealed interface StoredOutcome {
     /**
      * The upstream's complete answer.
      *
@@ -17,21 +17,21 @@
      * @param headers the header fields
      * @param body the body
      */
-    record Whole(int status, List<HeaderField> headers, byte[] body) implements KeptAnswer {}
+    record CompleteAnswer(int status, List<HeaderField> headers, byte[] body) implements StoredOutcome {}
 
     /**
      * The call has no complete answer.
      *
      * @param refusal the refusal that is sent instead
      */
-    record Lost(Refusal refusal) implements KeptAnswer {}
+    record NoAnswer(Refusal refusal) implements StoredOutcome {}
 
     /**
      * Returns the complete answer.
      *
      * @return the answer, empty if the call has none
      */
-    default Optional<Whole> whole() {
-        return this instanceof Whole w ? Optional.of(w) : Optional.empty();
+    default Optional<CompleteAnswer> completeAnswer() {
+        return this instanceof CompleteAnswer w ? Optional.of(w) : Optional.empty();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -69,11 +69,11 @@
             return;
         }
         if (isolated.getAsBoolean()) {
-            callback.accept(new Outcome.Elsewhere());
+            callback.accept(new Outcome.OwnedElsewhere());
             return;
         }
         switch (view.of(local, key)) {
-            case Ownership.OwnedElsewhere e -> callback.accept(new Outcome.Elsewhere());
+            case Ownership.OwnedElsewhere e -> callback.accept(new Outcome.OwnedElsewhere());
             case Ownership.Uncertain u -> callback.accept(new Outcome.Uncertain());
             case Ownership.Owned o ->
                 queryAll(o, key, local, certain -> callback.accept(claimed(local, key, fingerprint, certain)));
@@ -96,12 +96,12 @@
      */
     public void received(Link link, Message message, Optional<LocalUpstream> local) {
         switch (message) {
-            case Message.KeyAsk m -> answer(link, m, local);
-            case Message.KeyTold m ->
+            case Message.KeyQuery m -> answer(link, m, local);
+            case Message.KeyReply m ->
                 Optional.ofNullable(pendingQueries.remove(m.ticket())).ifPresent(c -> c.accept(Optional.of(m.fact())));
-            case Message.KeyHandOn m ->
+            case Message.KeyTransfer m ->
                 local.ifPresent(l -> l.keys().adopt(m.key(), m.fingerprint(), m.outcome(), timers.nanos()));
-            case Message.KeysHandedOn m -> view.keysTransferred(m.upstream());
+            case Message.KeyTransferEnd m -> view.keysTransferred(m.upstream());
             default -> throw new IllegalArgumentException(message.getClass().getSimpleName());
         }
     }
@@ -112,15 +112,15 @@
      * @param local the upstream colocated with this node
      * @param successors the upstreams of the service that keep running
      */
-    public void handOn(LocalUpstream local, List<Upstream> successors) {
+    public void transferKeys(LocalUpstream local, List<Upstream> successors) {
         List<KeyTable.ClaimedKey> claimed = local.keys().claimedKeys();
         for (Upstream successor : successors) {
             links.acquire(
                     successor.node(),
                     link -> link.ifPresent(l -> {
                         claimed.forEach(k -> k.outcome()
-                                .accept(kept -> l.send(new Message.KeyHandOn(k.key(), k.fingerprint(), kept))));
-                        l.send(new Message.KeysHandedOn(local.id()));
+                                .accept(kept -> l.send(new Message.KeyTransfer(k.key(), k.fingerprint(), kept))));
+                        l.send(new Message.KeyTransferEnd(local.id()));
                     }));
         }
     }
@@ -153,8 +153,8 @@
             return false;
         }
         return switch (fact.get()) {
-            case Message.KeyFact.Unknown u -> true;
-            case Message.KeyFact.Unsure u -> false;
+            case Message.KeyFact.NeverRan u -> true;
+            case Message.KeyFact.Undetermined u -> false;
             case Message.KeyFact.Known k -> {
                 local.keys().adopt(key, k.fingerprint(), k.outcome(), timers.nanos());
                 yield true;
@@ -170,33 +170,33 @@
                 () -> Optional.ofNullable(pendingQueries.remove(ticket)).ifPresent(c -> c.accept(Optional.empty())));
         links.acquire(query.upstream().node(), link -> {
             if (link.isPresent()) {
-                link.get().send(new Message.KeyAsk(ticket, query.upstream().id(), newOwner, query.vouch(), key));
+                link.get().send(new Message.KeyQuery(ticket, query.upstream().id(), newOwner, query.vouch(), key));
                 return;
             }
             Optional.ofNullable(pendingQueries.remove(ticket)).ifPresent(c -> c.accept(Optional.empty()));
         });
     }
 
-    private void answer(Link link, Message.KeyAsk ask, Optional<LocalUpstream> local) {
+    private void answer(Link link, Message.KeyQuery ask, Optional<LocalUpstream> local) {
         // An upstream started after the queried one knows none of its keys. If its answer counted as proof, the key
         // could
         // run again.
-        if (local.map(l -> !l.id().equals(ask.asked())).orElse(true)) {
-            link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Unsure()));
+        if (local.map(l -> !l.id().equals(ask.formerOwner())).orElse(true)) {
+            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Undetermined()));
             return;
         }
         LocalUpstream l = local.get();
         Optional<KeyTable.ClaimedKey> claimed = l.keys().lookUpOrSeal(ask.key(), timers.nanos());
         if (claimed.isEmpty()) {
-            boolean undetermined = ask.vouch() && view.mayHaveRunElsewhere(l, ask.asker(), ask.key());
-            Message.KeyFact fact = undetermined ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
-            link.send(new Message.KeyTold(ask.ticket(), fact));
+            boolean undetermined = ask.vouchForPredecessors() && view.mayHaveRunElsewhere(l, ask.newOwner(), ask.key());
+            Message.KeyFact fact = undetermined ? new Message.KeyFact.Undetermined() : new Message.KeyFact.NeverRan();
+            link.send(new Message.KeyReply(ask.ticket(), fact));
             return;
         }
         KeyTable.ClaimedKey k = claimed.get();
         k.outcome()
-                .accept(kept ->
-                        link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
+                .accept(kept -> link.send(
+                        new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerSettings.java
@@ -7,9 +7,10 @@
  *     nanoseconds
  * @param maxSkewMillis by how much the clocks of callers and nodes may differ, in milliseconds
  * @param queryTimeoutNanos how long a former owner may take to reply, in nanoseconds
- * @param isolatedNanos how long this node claims keys without receiving anything from other nodes, in nanoseconds
+ * @param isolatedAfterNanos how long this node claims keys without receiving anything from other nodes, in nanoseconds
  */
-public record OwnerSettings(long keyRetentionNanos, long maxSkewMillis, long queryTimeoutNanos, long isolatedNanos) {
+public record OwnerSettings(
+        long keyRetentionNanos, long maxSkewMillis, long queryTimeoutNanos, long isolatedAfterNanos) {
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_SKEW_MILLIS = 1_000;
     private static final long DEFAULT_ISOLATED_SECONDS = 2;
@@ -20,7 +21,7 @@
      * @param keyRetentionNanos how long a key is retained, in nanoseconds
      * @return the settings
      */
-    public static OwnerSettings keeping(long keyRetentionNanos) {
+    public static OwnerSettings withRetention(long keyRetentionNanos) {
         return new OwnerSettings(keyRetentionNanos, DEFAULT_SKEW_MILLIS, SECOND, DEFAULT_ISOLATED_SECONDS * SECOND);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -71,7 +71,7 @@
     public Ownership of(LocalUpstream local, String key) {
         String service = local.service();
         String ownId = local.id();
-        long ownSinceNanos = local.sinceNanos();
+        long ownSinceNanos = local.acceptingSinceNanos();
         List<MemberRecord> present = table.present().stream()
                 .filter(r -> r.service().equals(service))
                 .toList();
@@ -118,8 +118,8 @@
      * @return whether another node may have run the key
      */
     public boolean mayHaveRunElsewhere(LocalUpstream local, String asker, String key) {
-        boolean fresh = timers.nanos() - local.sinceNanos() < settings.keyRetentionNanos()
-                && !createdAfter(key, local.sinceNanos());
+        boolean fresh = timers.nanos() - local.acceptingSinceNanos() < settings.keyRetentionNanos()
+                && !createdAfter(key, local.acceptingSinceNanos());
         return fresh || otherOwner(local, asker, key) || departedOwner(local.service(), local.id(), key);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/Permits.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/Permits.java
@@ -24,7 +24,7 @@
     private static final double LOW_SHARE = 0.34;
 
     private final QuotaSettings settings;
-    private final Deque<TeamLimiter.Taker> waiting = new ArrayDeque<>();
+    private final Deque<TeamLimiter.AdmissionCallback> waiting = new ArrayDeque<>();
     private int held;
     private long lapseNanos;
     private int unused;
@@ -65,7 +65,7 @@
         }
     }
 
-    void await(TeamLimiter.Taker taker, long now) {
+    void await(TeamLimiter.AdmissionCallback taker, long now) {
         if (waiting.isEmpty()) {
             waitingNanos = now;
         }
@@ -142,8 +142,8 @@
     }
 
     /** Lets as many waiting requests go as there are permits. */
-    List<TeamLimiter.Taker> admitted() {
-        List<TeamLimiter.Taker> admitted = new ArrayList<>();
+    List<TeamLimiter.AdmissionCallback> admitted() {
+        List<TeamLimiter.AdmissionCallback> admitted = new ArrayList<>();
         while (held > 0 && !waiting.isEmpty()) {
             held--;
             admitted.add(waiting.poll());
@@ -152,8 +152,8 @@
     }
 
     /** Takes all waiting requests out. */
-    List<TeamLimiter.Taker> giveUp() {
-        List<TeamLimiter.Taker> all = List.copyOf(waiting);
+    List<TeamLimiter.AdmissionCallback> giveUp() {
+        List<TeamLimiter.AdmissionCallback> all = List.copyOf(waiting);
         waiting.clear();
         return all;
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -69,7 +69,7 @@
      * @param team the team
      * @param taker is told, now or soon, whether the request may go on
      */
-    public void admit(Team team, Taker taker) {
+    public void admit(Team team, AdmissionCallback taker) {
         if (team.limit().isEmpty()) {
             taker.admitted();
             return;
@@ -99,17 +99,17 @@
      *
      * @param team the request's team
      */
-    public void giveBack(Team team) {
+    public void returnPermit(Team team) {
         Permits p = permits.get(team.name());
         if (p == null || team.limit().isEmpty()) {
             return;
         }
-        List<Taker> admitted;
+        List<AdmissionCallback> admitted;
         synchronized (p) {
             p.giveBack(parts.timers().nanos());
             admitted = p.admitted();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
     }
 
     /**
@@ -120,21 +120,23 @@
      */
     public void received(Link link, Message message) {
         switch (message) {
-            case Message.QuotaAsk m -> {
-                Demand demand = new Demand(m.held(), m.returned(), m.needed(), m.wanted());
+            case Message.QuotaRequest m -> {
+                Demand demand = new Demand(m.leased(), m.returned(), m.needed(), m.requested());
                 Optional<Deal> deal = dealer.deal(m.node(), m.team(), demand);
-                link.send(new Message.QuotaTold(
+                link.send(new Message.QuotaReply(
                         m.ticket(),
                         m.team(),
                         deal.isPresent(),
                         deal.map(Deal::granted).orElse(0),
                         deal.map(Deal::afterMillis).orElse(0L)));
             }
-            case Message.QuotaTold m ->
+            case Message.QuotaReply m ->
                 told(
                         m.team(),
                         m.ticket(),
-                        m.dealt() ? Optional.of(new Deal(m.granted(), m.afterMillis())) : Optional.empty());
+                        m.fromAllocator()
+                                ? Optional.of(new Deal(m.granted(), m.availableAfterMillis()))
+                                : Optional.empty());
             default -> throw new IllegalArgumentException("no message about permits: " + message);
         }
     }
@@ -167,7 +169,7 @@
             told(team, ticket, Optional.empty());
             return;
         }
-        Message.QuotaAsk question = new Message.QuotaAsk(
+        Message.QuotaRequest question = new Message.QuotaRequest(
                 ticket, parts.self(), team, demand.held(), demand.returned(), demand.needed(), demand.wanted());
         parts.courier().send(node.get(), question, () -> told(team, ticket, Optional.empty()));
     }
@@ -179,8 +181,8 @@
             return;
         }
         long now = parts.timers().nanos();
-        List<Taker> admitted;
-        List<Taker> refused = List.of();
+        List<AdmissionCallback> admitted;
+        List<AdmissionCallback> refused = List.of();
         boolean waits;
         long afterMillis = deal.map(Deal::afterMillis).orElse(AGAIN_NANOS / NANOS_PER_MILLI);
         synchronized (p) {
@@ -197,7 +199,7 @@
             }
             waits = p.waits();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
         Refusal refusal = deal.isPresent() ? limited(afterMillis) : uncertain();
         refused.forEach(t -> t.refused(refusal));
         if (waits) {
@@ -210,7 +212,7 @@
         if (p == null) {
             return;
         }
-        List<Taker> refused;
+        List<AdmissionCallback> refused;
         synchronized (p) {
             if (!p.awaits(ticket)) {
                 return;
@@ -258,7 +260,7 @@
     /**
      * A request that asks for a permit.
      */
-    public interface Taker {
+    public interface AdmissionCallback {
         /** The request may go on. */
         void admitted();
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanReader.java
@@ -4,7 +4,7 @@
  * Parses an operator's document into a route plan.
  */
 @FunctionalInterface
-public interface PlanReader {
+public interface RoutePlanReader {
     /**
      * Parses a document.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanStore.java
@@ -14,16 +14,16 @@
  * Holds the route plan in force. A plan is only ever replaced by one with a higher version, whether that comes from the
  * operators' store or from another node. An unusable document leaves the current plan in force. Thread-safe.
  */
-public final class PlanKeeper {
+public final class RoutePlanStore {
     /** The version before the first plan. */
-    public static final long NONE = -1;
+    public static final long NO_VERSION = -1;
 
-    private final PlanReader reader;
+    private final RoutePlanReader reader;
     private final Counters counters;
     private final Listener listener;
     private final AtomicReference<Current> current = new AtomicReference<>();
 
-    private PlanKeeper(PlanReader reader, Counters counters, Listener listener) {
+    private RoutePlanStore(RoutePlanReader reader, Counters counters, Listener listener) {
         this.reader = reader;
         this.counters = counters;
         this.listener = listener;
@@ -37,8 +37,8 @@
      * @param listener is notified of plans that were applied and rejected
      * @return the store
      */
-    public static PlanKeeper create(PlanReader reader, Counters counters, Listener listener) {
-        return new PlanKeeper(reader, counters, listener);
+    public static RoutePlanStore create(RoutePlanReader reader, Counters counters, Listener listener) {
+        return new RoutePlanStore(reader, counters, listener);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return the store
      */
-    public static PlanKeeper absent() {
-        return new PlanKeeper(
+    public static RoutePlanStore disabled() {
+        return new RoutePlanStore(
                 document -> {
                     throw unreadable("this node is not given routes");
                 },
@@ -89,19 +89,19 @@
      *
      * @return the document, empty before the first
      */
-    public Optional<PlanDocument> document() {
+    public Optional<RoutePlanDocument> document() {
         return Optional.ofNullable(current.get())
-                .map(h -> new PlanDocument(h.plan().version(), h.bytes()));
+                .map(h -> new RoutePlanDocument(h.plan().version(), h.bytes()));
     }
 
     /**
      * Returns the version in force.
      *
-     * @return the version, {@link #NONE} before the first
+     * @return the version, {@link #NO_VERSION} before the first
      */
     public long version() {
         Current h = current.get();
-        return h == null ? NONE : h.plan().version();
+        return h == null ? NO_VERSION : h.plan().version();
     }
 
     /**
@@ -130,7 +130,7 @@
         Current before = current.getAndUpdate(h -> h == null || h.plan().version() < plan.version() ? next : h);
         if (current.get() == next && before != next) {
             counters.count(Event.CONFIG_APPLIED);
-            listener.applied(plan, before == null ? NONE : before.plan().version(), source);
+            listener.applied(plan, before == null ? NO_VERSION : before.plan().version(), source);
         }
     }
 
@@ -157,7 +157,7 @@
          * Called when a plan came into force.
          *
          * @param plan the plan
-         * @param before the version it replaced, {@link #NONE} if it is the first
+         * @param before the version it replaced, {@link #NO_VERSION} if it is the first
          * @param source the origin of the document
          */
         void applied(RoutePlan plan, long before, String source);
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/SplitCursor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/TrafficSplitter.java
@@ -10,7 +10,7 @@
  * <p>Load pattern: few requests a second on each node. With random draws, a share of a tenth would deviate by several
  * hundredths over some hundred requests. With a low-discrepancy sequence it deviates by one or two requests.
  */
-public final class SplitCursor {
+public final class TrafficSplitter {
     /** The fraction of the golden ratio in 32 bits; its multiples spread evenly over the interval at every length. */
     private static final int STEP = 0x9E3779B9;
 
@@ -20,7 +20,7 @@
     private final Map<String, AtomicInteger> positions = new ConcurrentHashMap<>();
     private final int start;
 
-    private SplitCursor(int start) {
+    private TrafficSplitter(int start) {
         this.start = start;
     }
 
@@ -30,8 +30,8 @@
      * @param start the start of every route's sequence, which should differ between nodes
      * @return the splitter
      */
-    public static SplitCursor startingAt(int start) {
-        return new SplitCursor(start);
+    public static TrafficSplitter startingAt(int start) {
+        return new TrafficSplitter(start);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -72,7 +72,7 @@
      * @return the candidate
      */
     public static Candidate of(Upstream upstream, boolean local) {
-        return new Candidate(upstream, local, ServiceLevels.unknown());
+        return new Candidate(upstream, local, ServiceLevels.empty());
     }
 
     /** Creates a candidate that adds the admission levels reported by its node to the given levels. */
@@ -265,7 +265,7 @@
      * @param typicalNanos the latency to assume while none was observed
      * @return the expected latency, in nanoseconds
      */
-    public double expectedNanos(double typicalNanos) {
+    public double expectedLatencyNanos(double typicalNanos) {
         double u = utilisation();
         double slowdown = 1 + UTILISATION_WEIGHT * u * u * u + QUEUEING_WEIGHT * Math.max(0, u - 1);
         double seen = latencyNanos == 0 ? typicalNanos : latencyNanos;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
@@ -19,5 +19,5 @@
     record Shed(int level) implements Choice {}
 
     /** No upstream is available for the call. */
-    record Nowhere() implements Choice {}
+    record NoCandidate() implements Choice {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
@@ -34,7 +34,7 @@
         double typical = typical(fit);
         Candidate a = SpareCapacity.draw(fit, random);
         Candidate b = SpareCapacity.drawOther(fit, a, random);
-        Candidate faster = a.expectedNanos(typical) <= b.expectedNanos(typical) ? a : b;
+        Candidate faster = a.expectedLatencyNanos(typical) <= b.expectedLatencyNanos(typical) ? a : b;
         return Optional.of(LocalityPreference.preferLocal(faster, fit, typical, random));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/LocalityPreference.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/LocalityPreference.java
@@ -41,7 +41,8 @@
         Candidate other = SpareCapacity.draw(locals, random);
         double preference = (NO_PREFERENCE_UTILISATION - other.utilisation())
                 / (NO_PREFERENCE_UTILISATION - FULL_PREFERENCE_UTILISATION);
-        boolean fastEnough = other.expectedNanos(typical) <= MAX_LATENCY_FACTOR * chosen.expectedNanos(typical);
+        boolean fastEnough =
+                other.expectedLatencyNanos(typical) <= MAX_LATENCY_FACTOR * chosen.expectedLatencyNanos(typical);
         return fastEnough && random.nextDouble() < preference ? other : chosen;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Place.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Location.java
@@ -6,11 +6,11 @@
  * @param region the region
  * @param dataCentre the data centre
  */
-public record Place(String region, String dataCentre) {
+public record Location(String region, String dataCentre) {
     // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Place o && region.equals(o.region) && dataCentre.equals(o.dataCentre);
+        return other instanceof Location o && region.equals(o.region) && dataCentre.equals(o.dataCentre);
     }
 
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -23,23 +23,23 @@
     private static final double WEIGHT_ELSEWHERE = 0.05;
 
     private final String self;
-    private final Place place;
+    private final Location location;
     private final int subsetSize;
     private final Chooser chooser;
     private final Supplier<RandomGenerator> random;
     private final boolean sheds;
-    private final ServiceLevels levels = ServiceLevels.unknown();
+    private final ServiceLevels levels = ServiceLevels.empty();
     private final AtomicReference<Map<String, Routes>> table = new AtomicReference<>(Map.of());
 
     private Router(
             String self,
-            Place place,
+            Location location,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
             boolean sheds) {
         this.self = self;
-        this.place = place;
+        this.location = location;
         this.subsetSize = subsetSize;
         this.chooser = chooser;
         this.random = random;
@@ -50,7 +50,7 @@
      * Creates a router that knows no upstreams.
      *
      * @param self the name of this node, which determines its subset of the upstreams
-     * @param place the location of this node
+     * @param location the location of this node
      * @param subsetSize the maximum number of upstreams used for a service
      * @param chooser chooses among the candidates that may take a call
      * @param random supplies each thread's random generator
@@ -59,12 +59,12 @@
      */
     public static Router create(
             String self,
-            Place place,
+            Location location,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
             boolean sheds) {
-        return new Router(self, place, subsetSize, chooser, random, sheds);
+        return new Router(self, location, subsetSize, chooser, random, sheds);
     }
 
     /**
@@ -91,7 +91,7 @@
     public Choice route(RouteQuery query, long nowNanos) {
         Routes routes = table.get().get(query.service());
         if (routes == null) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!query.key().isEmpty()) {
             return routeToOwner(routes, query, nowNanos);
@@ -101,7 +101,7 @@
             accepting = accepting(List.copyOf(routes.all.values()), query);
         }
         if (accepting.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!sheds) {
             return choose(accepting);
@@ -136,7 +136,7 @@
                 .toList();
         Optional<Candidate> owner = Rendezvous.owner(ids, query.key()).map(routes.all::get);
         if (owner.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         int level = Math.max(owner.get().level(now), levels.deeperLevel(query.service(), query.pathClass(), now));
         if (sheds && query.rank() < level) {
@@ -162,7 +162,7 @@
     private Choice choose(List<Candidate> candidates) {
         return chooser.choose(candidates, random.get())
                 .<Choice>map(Choice.To::new)
-                .orElseGet(Choice.Nowhere::new);
+                .orElseGet(Choice.NoCandidate::new);
     }
 
     private static List<Candidate> accepting(List<Candidate> candidates, RouteQuery query) {
@@ -199,7 +199,7 @@
                     u.id(),
                     known != null && known.upstream().equals(u)
                             ? known
-                            : Candidate.withLevels(u, u.place().equals(place), levels));
+                            : Candidate.withLevels(u, u.location().equals(location), levels));
         }
         List<Candidate> subset = Rendezvous.subset(upstreams, self, this::weight, subsetSize).stream()
                 .map(u -> all.get(u.id()))
@@ -208,10 +208,10 @@
     }
 
     private double weight(Upstream upstream) {
-        if (upstream.place().equals(place)) {
+        if (upstream.location().equals(location)) {
             return WEIGHT_SAME_DATA_CENTRE;
         }
-        return upstream.place().region().equals(place.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
+        return upstream.location().region().equals(location.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
@@ -36,7 +36,7 @@
      *
      * @return the levels
      */
-    public static ServiceLevels unknown() {
+    public static ServiceLevels empty() {
         return new ServiceLevels();
     }
 
@@ -50,7 +50,7 @@
      */
     void received(Upstream upstream, String pathClass, Message.Report report, long nowNanos) {
         services.put(upstream.service(), lowestRecent(upstream, report.level(), nowNanos));
-        Message.Below deeper = report.below();
+        Message.DeeperLevel deeper = report.deeperLevel();
         if (deeper.service().isEmpty()) {
             return;
         }
@@ -85,8 +85,8 @@
      * @param nowNanos the time
      * @return the service with the highest level
      */
-    public Message.Below highest(Collection<String> called, long nowNanos) {
-        Message.Below strictest = Message.Below.NOTHING;
+    public Message.DeeperLevel strictestLevel(Collection<String> called, long nowNanos) {
+        Message.DeeperLevel strictest = Message.DeeperLevel.NONE;
         int highestLevel = -1;
         for (String service : called) {
             ReportedLevel seen = services.getOrDefault(service, ReportedLevel.NONE);
@@ -94,7 +94,7 @@
             if (level > highestLevel) {
                 highestLevel = level;
                 int ageMillis = (int) Math.min(MAX_AGE_MILLIS, (nowNanos - seen.atNanos()) / MILLI);
-                strictest = new Message.Below(service, seen.rank(), ageMillis);
+                strictest = new Message.DeeperLevel(service, seen.rank(), ageMillis);
             }
         }
         return strictest;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
@@ -6,9 +6,9 @@
  * @param id the id, which changes when the colocated node restarts
  * @param service the service it serves
  * @param node the address of the colocated node
- * @param place its location
+ * @param location its location
  */
-public record Upstream(String id, String service, Endpoint node, Place place) {
+public record Upstream(String id, String service, Endpoint node, Location location) {
     // Written out because the derived methods are generated at their first use, which slows down process startup.
     @Override
     public boolean equals(Object other) {
@@ -16,11 +16,11 @@
                 && id.equals(o.id)
                 && service.equals(o.service)
                 && node.equals(o.node)
-                && place.equals(o.place);
+                && location.equals(o.location);
     }
 
     @Override
     public int hashCode() {
-        return 31 * (31 * (31 * id.hashCode() + service.hashCode()) + node.hashCode()) + place.hashCode();
+        return 31 * (31 * (31 * id.hashCode() + service.hashCode()) + node.hashCode()) + location.hashCode();
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/ExplicitEqualityTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/ExplicitEqualityTest.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.team.KeyDigest;
 
@@ -20,34 +20,34 @@
 final class ExplicitEqualityTest {
     private static final Endpoint HERE = new Endpoint("h", 1);
     private static final Endpoint THERE = new Endpoint("h", 2);
-    private static final Place PLACE = new Place("r", "d");
-    private static final Place ELSEWHERE = new Place("r", "e");
+    private static final Location LOCATION = new Location("r", "d");
+    private static final Location ELSEWHERE = new Location("r", "e");
 
     /** Lists of values that all differ, each from the first in one component. */
     static Stream<List<Object>> different() {
         return Stream.of(
                 List.of(HERE, THERE, new Endpoint("i", 1)),
-                List.of(PLACE, ELSEWHERE, new Place("s", "d")),
+                List.of(LOCATION, ELSEWHERE, new Location("s", "d")),
                 List.of(new CallId(1, 2), new CallId(1, 3), new CallId(2, 2)),
                 List.of(new KeyDigest(1, 2), new KeyDigest(1, 3), new KeyDigest(2, 2)),
                 List.of(
-                        new Upstream("u", "s", HERE, PLACE),
-                        new Upstream("v", "s", HERE, PLACE),
-                        new Upstream("u", "t", HERE, PLACE),
-                        new Upstream("u", "s", THERE, PLACE),
+                        new Upstream("u", "s", HERE, LOCATION),
+                        new Upstream("v", "s", HERE, LOCATION),
+                        new Upstream("u", "t", HERE, LOCATION),
+                        new Upstream("u", "s", THERE, LOCATION),
                         new Upstream("u", "s", HERE, ELSEWHERE)),
                 List.of(
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("m", 1, 2, MemberState.ALIVE, HERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("n", 2, 2, MemberState.ALIVE, HERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("n", 1, 3, MemberState.ALIVE, HERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("n", 1, 2, MemberState.LEFT, HERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, THERE, HERE, PLACE, "s", 3, 4),
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, THERE, PLACE, "s", 3, 4),
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("m", 1, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("n", 2, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("n", 1, 3, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("n", 1, 2, MemberState.LEFT, HERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, THERE, HERE, LOCATION, "s", 3, 4),
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, THERE, LOCATION, "s", 3, 4),
                         new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, ELSEWHERE, "s", 3, 4),
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, PLACE, "t", 3, 4),
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, PLACE, "s", 4, 4),
-                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, PLACE, "s", 3, 5)));
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "t", 3, 4),
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 4, 4),
+                        new MemberRecord("n", 1, 2, MemberState.ALIVE, HERE, HERE, LOCATION, "s", 3, 5)));
     }
 
     @ParameterizedTest
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -13,7 +13,7 @@
 
 /** Creates engines that are connected by a {@link MemoryNet}; each test registers the upstreams they know. */
 final class Engines {
-    static final Place PLACE = new Place("r", "d");
+    static final Location LOCATION = new Location("r", "d");
 
     private Engines() {}
 
@@ -23,12 +23,12 @@
         EngineParts parts = new EngineParts(
                 name,
                 incarnation,
-                PLACE,
+                LOCATION,
                 clock,
                 net.transport(),
                 () -> random,
                 Counters.create(),
-                Ledger.off(),
+                Ledger.disabled(),
                 DecisionLog.none(),
                 quarantine,
                 KeyClaims.alone(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
@@ -47,7 +47,7 @@
         SERVERS.forEach(s -> start(s, 2));
         entry.router()
                 .update(SERVERS.stream()
-                        .map(s -> new Upstream(s.host(), "s", s, Engines.PLACE))
+                        .map(s -> new Upstream(s.host(), "s", s, Engines.LOCATION))
                         .toList());
     }
 
@@ -104,7 +104,7 @@
 
     private void send(String method) {
         Message.Content content = new Message.Content(method, "/p", List.of(), new byte[0]);
-        entry.enter(new Inbound("s", content, "", Optional.of(TTL)), new RecordingSink(outcomes));
+        entry.submit(new InboundRequest("s", content, "", Optional.of(TTL)), new RecordingSink(outcomes));
     }
 
     private void answer(Endpoint server) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.call.RecordingSink;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
@@ -56,7 +56,7 @@
 
     @Test
     void isRefusedAsNotRunWhenItIsSentAgain() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(BAD);
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
@@ -64,7 +64,7 @@
 
     @Test
     void isRefusedByTheCalledNodeWhenTheEntryNodeDoesNotKnowYet() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(uninformedEntry(), BAD, "");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
@@ -73,7 +73,7 @@
     @Test
     void aKeyedRequestIsRefusedByTheCalledNodeToo() {
         Message.Content nonIdempotent = content("POST", "/bad");
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(nonIdempotent, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(nonIdempotent, s.host()));
         send(uninformedEntry(), nonIdempotent, "key-1");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), outcomes);
@@ -82,21 +82,21 @@
     /** The request that needs the call fails with it, and no calling node retries that request. */
     @Test
     void aNestedCallIsQuarantinedAndItsFailureIsFinal() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         Endpoint calling = new Endpoint("10.0.1.1", 1);
         Engine caller = engine(calling.host(), 3, quarantine);
         route(caller);
         List<String> nested = new ArrayList<>();
         caller.attach(calling.host(), "a", (handOver, listener) -> {
             runs.add(calling);
-            caller.callFrom(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(nested));
+            caller.submitNested(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(nested));
             listener.head(500, List.of());
             listener.end();
             return new Engines.Silent();
         });
         net.listen(calling, caller::accept);
-        entry.router().update(List.of(new Upstream(calling.host(), "a", calling, Engines.PLACE)));
-        entry.enter(inbound("a", content("GET", "/p"), ""), new RecordingSink(outcomes));
+        entry.router().update(List.of(new Upstream(calling.host(), "a", calling, Engines.LOCATION)));
+        entry.submit(inbound("a", content("GET", "/p"), ""), new RecordingSink(outcomes));
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), nested);
         assertEquals(List.of(calling), runs);
         assertEquals("head 500", outcomes.getFirst());
@@ -109,7 +109,7 @@
         crash(runs.getLast());
         assertEquals(1, runs.size());
         assertEquals(List.of("refused MAY_HAVE_RUN UPSTREAM_ENDED 0"), outcomes);
-        assertEquals(1, quarantine.ends(10).size());
+        assertEquals(1, quarantine.crashes(10).size());
     }
 
     @Test
@@ -119,13 +119,15 @@
         crash(runs.getLast());
         assertEquals(
                 List.of(),
-                quarantine.ends(10).stream().filter(e -> e.toldBy().isEmpty()).toList());
+                quarantine.crashes(10).stream()
+                        .filter(e -> e.reportedBy().isEmpty())
+                        .toList());
     }
 
     @Test
     void runsAloneAfterTwoCrashesAndIsFreeOnceAnswered() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
@@ -134,7 +136,7 @@
         Endpoint first = runs.getFirst();
         running.get(first).head(200, List.of());
         running.get(first).end();
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         assertEquals(before + 1, runs.size());
         assertEquals(first, runs.getLast());
     }
@@ -142,10 +144,10 @@
     /** The suspected request waits outside of the queue, which is emptied when an upstream begins to drain. */
     @Test
     void isNotHandedToAnUpstreamThatBeganToDrainWhileItWaited() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         Endpoint only = SERVERS.getFirst();
-        entry.router().update(List.of(new Upstream(only.host(), "s", only, Engines.PLACE)));
+        entry.router().update(List.of(new Upstream(only.host(), "s", only, Engines.LOCATION)));
         send(BAD);
         send(BAD);
         assertEquals(List.of(only), runs);
@@ -158,14 +160,14 @@
 
     @Test
     void isQuarantinedEvenIfItWaitedWhileOtherUpstreamsCrashed() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
         int before = runs.size();
         crash(runs.getFirst());
-        assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
+        assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
         List.copyOf(runs).forEach(s -> running.get(s).broken());
         assertEquals(before, runs.size());
     }
@@ -187,7 +189,7 @@
     private void route(Engine engine) {
         engine.router()
                 .update(SERVERS.stream()
-                        .map(s -> new Upstream(s.host(), "s", s, Engines.PLACE))
+                        .map(s -> new Upstream(s.host(), "s", s, Engines.LOCATION))
                         .toList());
     }
 
@@ -203,15 +205,15 @@
     }
 
     private void send(Engine at, Message.Content content, String key) {
-        at.enter(inbound("s", content, key), new RecordingSink(outcomes));
+        at.submit(inbound("s", content, key), new RecordingSink(outcomes));
     }
 
-    private static Inbound inbound(String service, Message.Content content, String key) {
-        return new Inbound(service, content, key, Optional.of(10_000 * MILLI));
+    private static InboundRequest inbound(String service, Message.Content content, String key) {
+        return new InboundRequest(service, content, key, Optional.of(10_000 * MILLI));
     }
 
     private void crash(Endpoint server) {
-        running.get(server).upstreamEnded();
+        running.get(server).upstreamCrashed();
     }
 
     private static Message.Content content(String method, String path) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.team.RateLimit;
 import org.verbenadyke.kernel.team.Team;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -78,12 +78,12 @@
                 nodes.get(seenBy).dealers.dealer(team).orElseThrow().nodeId().substring(1));
     }
 
-    void admit(int node, String team, TeamLimiter.Taker taker) {
+    void admit(int node, String team, TeamLimiter.AdmissionCallback taker) {
         nodes.get(node).limiter.admit(teams.get(team), taker);
     }
 
     void giveBack(int node, String team) {
-        nodes.get(node).limiter.giveBack(teams.get(team));
+        nodes.get(node).limiter.returnPermit(teams.get(team));
     }
 
     void kill(int node) {
@@ -170,7 +170,8 @@
 
         private MemberRecord record(MemberState state) {
             Endpoint at = new Endpoint("h", number + 1);
-            return new MemberRecord("n" + number, incarnation, version, state, at, at, new Place("r", "d"), "s", 0, 0);
+            return new MemberRecord(
+                    "n" + number, incarnation, version, state, at, at, new Location("r", "d"), "s", 0, 0);
         }
 
         private void learn(Node other, MemberState state) {
@@ -235,13 +236,13 @@
         }
 
         @Override
-        public void awaiting(int more) {
+        public void adjustAwaited(int more) {
             // Nobody watches the link.
         }
     }
 
     /** Counts what becomes of one team's requests, beside what one bucket that sees all of them would do. */
-    static final class Tally implements TeamLimiter.Taker {
+    static final class Tally implements TeamLimiter.AdmissionCallback {
         private final VirtualTimerService clock;
         private final List<Long> admittedAt = new ArrayList<>();
         private int limited;
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanStoreTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanStoreTest.java
@@ -10,11 +10,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link PlanKeeper}. */
+/** Tests {@link RoutePlanStore}. */
 final class RoutePlanStoreTest {
     private final List<String> events = new ArrayList<>();
-    private final PlanKeeper store =
-            PlanKeeper.create(RoutePlanStoreTest::read, Counters.create(), new RecordingListener());
+    private final RoutePlanStore store =
+            RoutePlanStore.create(RoutePlanStoreTest::read, Counters.create(), new RecordingListener());
 
     @Test
     void neverAppliesAnOlderVersion() {
@@ -38,7 +38,7 @@
 
     @Test
     void isEmptyAtFirst() {
-        assertEquals(PlanKeeper.NONE, store.version());
+        assertEquals(RoutePlanStore.NO_VERSION, store.version());
         assertTrue(store.plan().isEmpty());
         assertTrue(store.document().isEmpty());
     }
@@ -51,7 +51,7 @@
     private static RoutePlan read(byte[] document) {
         String text = new String(document, StandardCharsets.US_ASCII);
         if (!text.matches("-?\\d+")) {
-            throw PlanKeeper.unreadable(text);
+            throw RoutePlanStore.unreadable(text);
         }
         long version = Long.parseLong(text);
         List<Route> routes = version < 0 ? List.of(RoutePlanTest.route("r", "h", "/", "unknown")) : List.of();
@@ -59,7 +59,7 @@
     }
 
     /** Records applied plans and rejected documents. */
-    private final class RecordingListener implements PlanKeeper.Listener {
+    private final class RecordingListener implements RoutePlanStore.Listener {
         @Override
         public void applied(RoutePlan plan, long before, String source) {
             events.add(plan.version() + " after " + before);
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/TrafficSplitterTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/TrafficSplitterTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link SplitCursor}. */
+/** Tests {@link TrafficSplitter}. */
 final class TrafficSplitterTest {
     private static final int MAX_DEVIATION = 2;
 
@@ -15,7 +15,7 @@
     void staysCloseToTheWeightsAtEveryLength() {
         Route route = split(new ServiceShare("a", 90), new ServiceShare("b", 10));
         for (int start : new int[] {0, 1, -5, Integer.MAX_VALUE, 123_456_789}) {
-            SplitCursor splitter = SplitCursor.startingAt(start);
+            TrafficSplitter splitter = TrafficSplitter.startingAt(start);
             int minor = 0;
             for (int n = 1; n <= 1_000; n++) {
                 minor += splitter.next(route).equals("b") ? 1 : 0;
@@ -27,7 +27,7 @@
     @Test
     void sendsNothingToAShareWithoutWeight() {
         Route route = split(new ServiceShare("a", 0), new ServiceShare("b", 3), new ServiceShare("c", 0));
-        SplitCursor splitter = SplitCursor.startingAt(-1);
+        TrafficSplitter splitter = TrafficSplitter.startingAt(-1);
         for (int n = 0; n < 100; n++) {
             assertEquals("b", splitter.next(route));
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -23,12 +23,12 @@
     private static final long END = 14_000 * MILLI;
     private static final double SHED_SHARE = 0.45;
     private static final int SLOTS = 40;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location LOCATION = new Location("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
 
     private final SplittableRandom random = new SplittableRandom(5);
     private final Router router =
-            Router.create("me", PLACE, 8, new ExpectedFinishProvider().create(), () -> random, true);
+            Router.create("me", LOCATION, 8, new ExpectedFinishProvider().create(), () -> random, true);
     private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Long.compare(a.atNanos(), b.atNanos()));
     private int sentInTrouble;
     private int shedInTrouble;
@@ -52,7 +52,7 @@
     private void replay(boolean recordSheds) {
         List<Upstream> upstreams = new ArrayList<>();
         for (String id : List.of("a", "b", "c")) {
-            upstreams.add(new Upstream(id, "s", AT, PLACE));
+            upstreams.add(new Upstream(id, "s", AT, LOCATION));
         }
         router.update(upstreams);
         for (long now = 0; now < END; now += MILLI) {
@@ -79,7 +79,7 @@
             return;
         }
         to.ended();
-        to.reported("", new Message.Report(0, SLOTS, 0, 0, false, Message.Below.NOTHING), now);
+        to.reported("", new Message.Report(0, SLOTS, 0, 0, false, Message.DeeperLevel.NONE), now);
         if (recordSheds) {
             to.shed(now);
         }
@@ -94,7 +94,7 @@
     private record Answer(long atNanos, Candidate from) {
         void arrive() {
             from.ended();
-            from.reported("", new Message.Report(SLOTS / 4, SLOTS, 0, 0, false, Message.Below.NOTHING), atNanos);
+            from.reported("", new Message.Report(SLOTS / 4, SLOTS, 0, 0, false, Message.DeeperLevel.NONE), atNanos);
             from.succeeded(SERVICE_NANOS);
         }
     }
