--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
@@ -11,8 +11,9 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * A budget whose count is held further up: each retry is asked for over the link the call came by. A question that is
- * never answered counts as denied, and what was granted on a lost answer counts as spent.
+ * A retry budget whose count is held by the node where the request entered: each retry is requested from the calling
+ * node over the link on which the call arrived. A request without a reply counts as denied; a retry granted in a reply
+ * that is lost counts as spent.
  */
 public final class ParentBudget implements RetryBudget {
     private final Supplier<Link> parent;
@@ -29,7 +30,7 @@
     /**
      * Creates the budget of a received call.
      *
-     * @param parent the link to the node above, which may change while the call runs
+     * @param parent supplies the link to the calling node, which may change while the call runs
      * @param call the call
      * @return the budget
      */
@@ -47,15 +48,15 @@
         }
     }
 
-    /** Asks all open questions again, since the link that they went by is gone. */
+    /** Sends all pending requests again, because the link on which they were sent is gone. */
     public void resendPending() {
         pending.keySet().forEach(this::send);
     }
 
     /**
-     * Takes the answer to a question.
+     * Handles the reply to a request.
      *
-     * @param ticket the question
+     * @param ticket the id of the request
      * @param granted whether the retry may be made
      */
     public void decided(long ticket, boolean granted) {
@@ -69,7 +70,7 @@
         parent.get().send(new Message.Spend(call, ticket));
     }
 
-    /** Denies every open question and all later ones: the call above has ended. */
+    /** Denies every pending request and all later ones, because the call has ended at the calling node. */
     public void close() {
         closed = true;
         for (Long ticket : pending.keySet()) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds the retries from one service to another to a share of the successes between them, so that a failing service is
- * not fed by the retries it causes.
+ * Limits the retries from one service to another to a ratio of the successful calls between them, so that retries do
+ * not add to the load of a failing service. Thread-safe.
  */
 public final class RatioBudget {
     private static final long UNIT = 1_000L;
@@ -23,14 +23,14 @@
      * Creates a full budget.
      *
      * @param ratio retries per success, such as 0.1
-     * @param burst how many retries can be saved up
+     * @param burst the maximum number of saved retries
      * @return the budget
      */
     public static RatioBudget of(double ratio, int burst) {
         return new RatioBudget(ratio, burst);
     }
 
-    /** Notes a success. */
+    /** Records a successful call. */
     public void succeeded() {
         long seen = credit.get();
         while (seen < cap && !credit.compareAndSet(seen, Math.min(cap, seen + gain))) {
@@ -41,7 +41,7 @@
     /**
      * Takes one retry.
      *
-     * @return whether the share allows it
+     * @return whether the budget allows it
      */
     public boolean take() {
         long seen = credit.get();
@@ -54,7 +54,7 @@
         return false;
     }
 
-    /** Gives back a retry that was taken and not made. */
+    /** Returns a retry that was taken but not made. */
     public void putBack() {
         long seen = credit.get();
         while (!credit.compareAndSet(seen, Math.min(cap, seen + UNIT))) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RetryBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RetryBudget.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 
 /**
- * Where a request's retries come from. The count stays where the request entered; every other hop asks up its chain,
- * so that nothing is lost with a connection and parallel calls draw on the same count.
+ * The retry budget of a request. The count is held by the node where the request entered; every other node requests
+ * retries from its calling node, so that no count is lost with a connection and parallel calls share one count.
  */
 public sealed interface RetryBudget permits RootBudget, ParentBudget {
     /**
-     * Asks for one retry.
+     * Requests one retry.
      *
-     * @param decision is told once whether the retry may be made, perhaps on another thread
+     * @param decision called once, possibly on another thread, with whether the retry may be made
      */
     void spend(Consumer<Boolean> decision);
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RootBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RootBudget.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * The count of a request's retries, held where the request entered.
+ * The retry count of a request, held by the node where the request entered. Thread-safe.
  */
 public final class RootBudget implements RetryBudget {
     private final AtomicInteger left;
@@ -14,9 +14,9 @@
     }
 
     /**
-     * Mints a budget.
+     * Creates a budget.
      *
-     * @param retries how many retries the whole chain may make
+     * @param retries the number of retries that the whole call chain may make
      * @return the budget
      */
     public static RootBudget of(int retries) {
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Returns what is left.
+     * Returns the number of retries left.
      *
      * @return the number of retries
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/concurrent/SerialExecutor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/concurrent/SerialExecutor.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Runs tasks one at a time on whichever thread brings them, without locks and without a thread of its own. A task that
- * arrives while another runs is run by the thread that is already at work.
+ * Runs tasks one at a time on the threads that submit them, without locks and without its own thread. A task submitted
+ * while another runs is run later by the thread that runs the other one.
  */
 public final class SerialExecutor {
     private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
@@ -14,16 +14,16 @@
     private SerialExecutor() {}
 
     /**
-     * Creates an idle runner.
+     * Creates an idle executor.
      *
-     * @return the runner
+     * @return the executor
      */
     public static SerialExecutor create() {
         return new SerialExecutor();
     }
 
     /**
-     * Runs a task, now or on the thread at work.
+     * Runs a task immediately, or later on the thread that is running another task.
      *
      * @param task the task; it must not block or throw
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigEntry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigEntry.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * What stands on the configuration's stream.
+ * An entry of the configuration stream.
  */
 public sealed interface ConfigEntry {
     /**
-     * A confirmed change. It takes effect only when the version it was made for is in force at its place on the log.
+     * A confirmed change. It takes effect only if its base version is in force at its offset in the log.
      *
-     * @param id names the change; the same on every try to append it
-     * @param base the version it was made for
-     * @param retries how many retries the whole chain of a request may make
-     * @param rules how much requests matter
-     * @param leaving upstreams that are to get no new work
+     * @param id identifies the change; the same on every attempt to append it
+     * @param base the version it is based on
+     * @param retries the number of retries that the whole call chain of a request may make
+     * @param rules the rules that determine the importance of requests
+     * @param leaving upstreams that must not get new work
      * @param author who confirmed it
-     * @param atMillis when, in milliseconds since the epoch
+     * @param atMillis when it was confirmed, in milliseconds since the epoch
      */
     record Change(
             String id,
@@ -28,7 +28,7 @@
             long atMillis)
             implements ConfigEntry {
         /**
-         * Returns the configuration that the change makes.
+         * Returns the configuration that results from the change.
          *
          * @return the next version
          */
@@ -38,7 +38,7 @@
     }
 
     /**
-     * The state at a place on the log, written again before the log drops the changes that led to it.
+     * The state at an offset of the log, appended before the log drops the changes that led to it.
      *
      * @param state the state
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Follows the configuration's stream and what other nodes tell of it. A reader that missed entries keeps its version in
- * force and the entries it reads, until a snapshot or another node tells it the state at a place it can go on from.
- * Used by one thread at a time.
+ * Derives the configuration from the entries of its stream and from the state received from other nodes. A reader that
+ * missed entries keeps its version in force and collects the entries it reads, until a snapshot or another node
+ * provides a state from which it can continue. Not thread-safe.
  */
 public final class ConfigLogReader {
     private static final int MAX_PENDING = 10_000;
@@ -23,7 +23,7 @@
     private ConfigLogReader() {}
 
     /**
-     * Creates a reader that knows nothing.
+     * Creates a reader without a state.
      *
      * @return the reader
      */
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the newest state that is known.
+     * Returns the newest known state.
      *
      * @return the state, once there is one
      */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Tells whether every entry up to the last one read was taken into account.
+     * Returns whether every entry up to the last one read has been applied.
      *
      * @return false while entries are missing
      */
@@ -50,17 +50,17 @@
     }
 
     /**
-     * Finds a version seen lately.
+     * Looks up a recent version.
      *
      * @param version the version
-     * @return the configuration, if it was seen
+     * @return the configuration, empty if it is unknown
      */
     public Optional<Configuration> version(long version) {
         return Optional.ofNullable(versions.get(version));
     }
 
     /**
-     * Returns where to read on.
+     * Returns the offset to read from next.
      *
      * @return the next offset
      */
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Takes what was read from the log.
+     * Handles entries read from the log.
      *
-     * @param firstOffset the oldest offset that the log still keeps
-     * @param next where to read on
+     * @param firstOffset the oldest offset that the log still holds
+     * @param next the offset to read from next
      * @param entries the entries by offset
      */
     public void read(long firstOffset, long next, Map<Long, ConfigEntry> entries) {
@@ -93,31 +93,32 @@
     }
 
     /**
-     * Takes the state that another node or a snapshot tells.
+     * Handles a state received from another node or from a snapshot.
      *
-     * @param told the state
+     * @param received the state
      */
-    public void receive(ConfigState told) {
-        boolean newer = state == null || told.version() > state.version();
-        boolean mends = !synced && state != null && told.version() == state.version() && continuesFrom(told);
-        if (!newer && !mends) {
+    public void receive(ConfigState received) {
+        boolean newer = state == null || received.version() > state.version();
+        boolean closesGap =
+                !synced && state != null && received.version() == state.version() && continuesFrom(received);
+        if (!newer && !closesGap) {
             return;
         }
-        adopt(told);
-        if (nextOffset <= told.offset()) {
-            nextOffset = told.offset() + 1;
+        adopt(received);
+        if (nextOffset <= received.offset()) {
+            nextOffset = received.offset() + 1;
             readFrom = nextOffset;
             pending.clear();
         }
-        synced = continuesFrom(told);
+        synced = continuesFrom(received);
         if (synced) {
-            pending.tailMap(told.offset() + 1).forEach((offset, entry) -> adopt(state.after(offset, entry)));
+            pending.tailMap(received.offset() + 1).forEach((offset, entry) -> adopt(state.after(offset, entry)));
             pending.clear();
         }
     }
 
-    private boolean continuesFrom(ConfigState told) {
-        return readFrom <= told.offset() + 1;
+    private boolean continuesFrom(ConfigState received) {
+        return readFrom <= received.offset() + 1;
     }
 
     private void take(long offset, ConfigEntry entry) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
@@ -1,14 +1,14 @@
 package org.verbenadyke.kernel.config;
 
 /**
- * How often the configuration's stream is read and written.
+ * How often the configuration stream is read and written.
  *
- * @param followed whether the stream is read at all; a node that is given its configuration otherwise reads none
- * @param pollMillis how long a close reader lets the log wait for an entry, in milliseconds
- * @param idleNanos how often the other nodes look, in nanoseconds
+ * @param followed whether the stream is read at all; false for a node that gets its configuration in another way
+ * @param pollMillis how long a tailing node lets the log wait for an entry, in milliseconds
+ * @param idleNanos how often the other nodes read, in nanoseconds
  * @param retryNanos how long to wait after a failure, in nanoseconds
- * @param confirmNanos how long a confirmation waits for the log to show it, in nanoseconds
- * @param snapshotNanos how often the state is written again, in nanoseconds
+ * @param confirmNanos how long a confirmation waits for the log to show the change, in nanoseconds
+ * @param snapshotNanos how often a snapshot of the state is appended, in nanoseconds
  */
 public record ConfigSettings(
         boolean followed, long pollMillis, long idleNanos, long retryNanos, long confirmNanos, long snapshotNanos) {
@@ -19,7 +19,7 @@
     private static final long DEFAULT_SNAPSHOT_SECONDS = 600;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @return the settings
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * The configuration in force after the log was read up to a place. The same on every node that read as far.
+ * The configuration in force after the log was read up to an offset. It is the same on every node that read as far.
  *
  * @param configuration the configuration in force
- * @param offset the offset of the last entry taken into account, -1 before the first
- * @param decisions what became of the latest changes, oldest first
+ * @param offset the offset of the last applied entry, -1 before the first
+ * @param decisions the outcomes of the latest changes, oldest first
  */
 public record ConfigState(Configuration configuration, long offset, List<Decision> decisions) {
     private static final int MAX_DECISIONS = 16;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Takes the next entry into account. Of two changes with the same base, the one that stands first on the log wins;
-     * a change that stands there twice counts once.
+     * Applies the next entry. Of two changes with the same base version, the one that is first in the log takes effect;
+     * a change that was appended twice counts once.
      *
      * @param at its offset
      * @param entry the entry
@@ -57,23 +57,23 @@
     }
 
     /**
-     * Finds out what became of a change.
+     * Looks up the outcome of a change.
      *
      * @param id the change
-     * @return the decision, if it was among the latest
+     * @return the decision, empty if the change is not among the latest
      */
     public Optional<Decision> decision(String id) {
         return decisions.stream().filter(d -> d.id().equals(id)).findFirst();
     }
 
     /**
-     * What became of a change.
+     * The outcome of a change.
      *
      * @param id the change
      * @param tookEffect whether it took effect
-     * @param version the version it made, or the one in force that it lost against
+     * @param version the version it created, or the version in force that superseded it
      * @param author who confirmed it
-     * @param atMillis when, in milliseconds since the epoch
+     * @param atMillis when it was confirmed, in milliseconds since the epoch
      */
     public record Decision(String id, boolean tookEffect, long version, String author, long atMillis) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -17,8 +17,8 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Keeps the configuration of one node up to date: from the log, which a few nodes of each data centre follow closely
- * and the others now and then, and from other nodes. Appends confirmed changes and finds out what became of them.
+ * Maintains the configuration of one node. It reads the log, which a few nodes of each data centre tail and the others
+ * poll at long intervals, and receives the state of other nodes. Appends confirmed changes and reports their outcome.
  */
 public final class ConfigStore {
     /** The stream of configuration entries. */
@@ -44,25 +44,25 @@
     }
 
     /**
-     * Creates a keeper and lets it read.
+     * Creates a store and starts reading.
      *
-     * @param parts what it works with
+     * @param parts the collaborators
      * @param settings how often it reads and writes
-     * @return the keeper
+     * @return the store
      */
     public static ConfigStore start(Parts parts, ConfigSettings settings) {
-        ConfigStore keeper = new ConfigStore(parts, settings);
+        ConfigStore store = new ConfigStore(parts, settings);
         if (!settings.followed()) {
-            return keeper;
+            return store;
         }
-        keeper.serial.run(keeper::read);
+        store.serial.run(store::read);
         long jitter = parts.random().nextLong(settings.snapshotNanos());
         parts.timers()
                 .after(
                         jitter,
                         () -> parts.timers()
-                                .every(settings.snapshotNanos(), () -> keeper.serial.run(keeper::writeSnapshot)));
-        return keeper;
+                                .every(settings.snapshotNanos(), () -> store.serial.run(store::writeSnapshot)));
+        return store;
     }
 
     /**
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Tells whether all entries read were taken into account.
+     * Returns whether all entries read so far have been applied.
      *
      * @return false while entries are missing
      */
@@ -84,60 +84,60 @@
     }
 
     /**
-     * Returns how old the view of the log is.
+     * Returns the age of the last successful read of the log.
      *
-     * @return nanoseconds since the last answer of the log
+     * @return the age in nanoseconds
      */
     public long logAgeNanos() {
         return parts.timers().nanos() - readNanos.get();
     }
 
     /**
-     * Finds a version seen lately.
+     * Looks up a recent version.
      *
      * @param version the version
-     * @param taker is told the configuration, if it was seen
+     * @param callback called with the configuration, empty if it is unknown
      */
-    public void version(long version, Consumer<Optional<Configuration>> taker) {
-        serial.run(() -> taker.accept(reader.version(version)));
+    public void version(long version, Consumer<Optional<Configuration>> callback) {
+        serial.run(() -> callback.accept(reader.version(version)));
     }
 
     /**
-     * Takes the state that another node tells.
+     * Handles the state received from another node.
      *
-     * @param told the state
+     * @param received the state
      */
-    public void receive(ConfigState told) {
+    public void receive(ConfigState received) {
         serial.run(() -> {
-            reader.receive(told);
+            reader.receive(received);
             publish();
         });
     }
 
     /**
-     * Confirms a change: appends it unless its fate is known already, and waits until the log shows what became of it.
+     * Confirms a change: appends it unless its outcome is known already, and waits until the log shows the outcome.
      *
      * @param change the change
-     * @param taker is told once
+     * @param callback called once with the outcome
      */
-    public void confirm(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
+    public void confirm(ConfigEntry.Change change, Consumer<ConfirmOutcome> callback) {
         serial.run(() -> {
             Optional<ConfigState.Decision> known = reader.state().flatMap(s -> s.decision(change.id()));
             if (known.isPresent()) {
-                taker.accept(ConfirmOutcome.of(known.get()));
+                callback.accept(ConfirmOutcome.of(known.get()));
                 return;
             }
             long inForce = reader.state().map(ConfigState::version).orElse(0L);
             if (reader.state().isPresent() && change.base() < inForce) {
-                taker.accept(new ConfirmOutcome.Superseded(inForce));
+                callback.accept(new ConfirmOutcome.Superseded(inForce));
                 return;
             }
-            append(change, taker);
+            append(change, callback);
         });
     }
 
-    private void append(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
-        PendingConfirmation pending = new PendingConfirmation(taker);
+    private void append(ConfigEntry.Change change, Consumer<ConfirmOutcome> callback) {
+        PendingConfirmation pending = new PendingConfirmation(callback);
         confirming.put(change.id(), pending);
         parts.timers()
                 .after(
@@ -225,7 +225,7 @@
                         .orElse(false));
     }
 
-    /** Writes the state again, so that it outlives the entries that led to it. */
+    /** Appends a snapshot of the state, so that the state outlives the entries that led to it. */
     private void writeSnapshot() {
         if (!parts.tailing().getAsBoolean()
                 || !reader.synced()
@@ -246,15 +246,15 @@
     }
 
     /**
-     * What a keeper works with.
+     * The collaborators of a configuration store.
      *
-     * @param timers the time
+     * @param timers the clock and timers
      * @param log the log
-     * @param codec encodes entries
-     * @param random where randomness comes from
-     * @param counters where failures are counted
-     * @param tailing tells whether this node is one of those that follow the log closely
-     * @param inForce takes each newer configuration
+     * @param codec encodes and decodes entries
+     * @param random the source of randomness
+     * @param counters counts appends and failures
+     * @param tailing returns whether this node is one of those that tail the log
+     * @param inForce called with each newer configuration
      */
     public record Parts(
             TimerService timers,
@@ -266,27 +266,27 @@
             Consumer<Configuration> inForce) {}
 
     /**
-     * A confirmation under way.
+     * A confirmation in progress.
      */
     private static final class PendingConfirmation {
-        private final Consumer<ConfirmOutcome> taker;
+        private final Consumer<ConfirmOutcome> callback;
         private boolean completed;
 
-        private PendingConfirmation(Consumer<ConfirmOutcome> taker) {
-            this.taker = taker;
+        private PendingConfirmation(Consumer<ConfirmOutcome> callback) {
+            this.callback = callback;
         }
 
         boolean complete(ConfirmOutcome outcome) {
             if (!completed) {
                 completed = true;
-                taker.accept(outcome);
+                callback.accept(outcome);
             }
             return true;
         }
     }
 
     /**
-     * Returns the versions that can be shown.
+     * Returns the decisions about recent changes.
      *
      * @return the latest decisions, oldest first
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/Configuration.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/Configuration.java
@@ -6,15 +6,15 @@
 import org.verbenadyke.kernel.call.Importance;
 
 /**
- * What the operators decided, as one immutable version.
+ * One immutable version of the configuration that operators set.
  *
- * @param version counts up by one with each confirmed change; 0 before the first
- * @param retries how many retries the whole chain of a request may make
- * @param rules how much requests matter; the first that matches decides
- * @param leaving ids or names of upstreams that are to get no new work
+ * @param version rises by one with each confirmed change; 0 before the first
+ * @param retries the number of retries that the whole call chain of a request may make
+ * @param rules the rules that determine the importance of requests; the first that matches applies
+ * @param leaving ids or names of upstreams that must not get new work
  */
 public record Configuration(long version, int retries, List<ImportanceRule> rules, Set<String> leaving) {
-    /** The most retries that may be allowed. */
+    /** Maximum number of retries that can be configured. */
     public static final int MAX_RETRIES = 10;
 
     private static final int DEFAULT_RETRIES = 2;
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Finds out how much a request matters.
+     * Returns the importance of a request.
      *
      * @param service the service called
      * @param method the HTTP method
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfirmOutcome.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfirmOutcome.java
@@ -1,41 +1,41 @@
 package org.verbenadyke.kernel.config;
 
 /**
- * What came of confirming a change.
+ * The outcome of confirming a change.
  */
 public sealed interface ConfirmOutcome {
     /**
      * The change took effect.
      *
-     * @param version the version it made
+     * @param version the version it created
      */
     record InForce(long version) implements ConfirmOutcome {}
 
     /**
-     * Another change was first; this one never takes effect.
+     * Another change came first; this one never takes effect.
      *
      * @param version the version in force
      */
     record Superseded(long version) implements ConfirmOutcome {}
 
     /**
-     * The change is not on the log.
+     * The change was not appended to the log.
      *
      * @param reason what went wrong
      */
     record NotAppended(String reason) implements ConfirmOutcome {}
 
     /**
-     * It can't be known yet; asking again with the same change is safe.
+     * The outcome isn't known yet; confirming the same change again is safe.
      *
-     * @param reason what is missing
+     * @param reason why the outcome is unknown
      */
     record Unknown(String reason) implements ConfirmOutcome {}
 
     /**
-     * Words a decision.
+     * Converts a decision.
      *
-     * @param decision what the log showed
+     * @param decision the decision found in the log
      * @return the outcome
      */
     static ConfirmOutcome of(ConfigState.Decision decision) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ImportanceRule.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ImportanceRule.java
@@ -3,23 +3,23 @@
 import org.verbenadyke.kernel.call.Importance;
 
 /**
- * Says how much certain requests matter. The first rule that matches decides.
+ * Assigns an importance to the requests that it matches. The first rule that matches applies.
  *
  * @param service the service called, or {@code *}
  * @param method the HTTP method, or {@code *}
- * @param pathPrefix what the path must begin with
- * @param importance how much they matter
+ * @param pathPrefix the prefix that the path must have
+ * @param importance the importance of matching requests
  */
 public record ImportanceRule(String service, String method, String pathPrefix, Importance importance) {
     private static final String ANY = "*";
 
     /**
-     * Tells whether a request matches.
+     * Returns whether a request matches.
      *
      * @param requestService the service called
      * @param requestMethod the HTTP method
      * @param path the path
-     * @return whether the rule decides on it
+     * @return whether the rule matches it
      */
     public boolean matches(String requestService, String requestMethod, String path) {
         return (service.equals(ANY) || service.equals(requestService))
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Tells whether every request that another rule matches is matched by this one too.
+     * Returns whether this rule matches every request that another rule matches.
      *
      * @param other the other rule
-     * @return whether a later rule of that kind never decides
+     * @return whether the other rule never applies if it comes later
      */
     public boolean covers(ImportanceRule other) {
         return (service.equals(ANY) || service.equals(other.service))
--- a/kernel/src/main/java/org/verbenadyke/kernel/error/ErrorCode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/error/ErrorCode.java
@@ -1,23 +1,23 @@
 package org.verbenadyke.kernel.error;
 
 /**
- * Every kind of error, with its stable code. The text and the remedy stand in {@code messages.properties} under the
+ * The kinds of errors with their stable codes. The text and the remedy are in {@code messages.properties} under the
  * code.
  */
 public enum ErrorCode {
     /** A settings file can't be read. */
     SETTINGS_UNREADABLE("VD-1001"),
-    /** A section that must be there is missing. */
+    /** A required section is missing. */
     SETTINGS_MISSING_SECTION("VD-1002"),
-    /** A section that isn't known. */
+    /** An unknown section. */
     SETTINGS_UNKNOWN_SECTION("VD-1003"),
-    /** A key that isn't known in its section. */
+    /** An unknown key in a section. */
     SETTINGS_UNKNOWN_KEY("VD-1004"),
-    /** A key that must be there is missing. */
+    /** A required key is missing. */
     SETTINGS_MISSING_KEY("VD-1005"),
-    /** A value that can't be used. */
+    /** An invalid value. */
     SETTINGS_BAD_VALUE("VD-1006"),
-    /** A listening port is taken. */
+    /** A listening port is in use. */
     PORT_IN_USE("VD-1101"),
     /** The log service can't be reached. */
     LOG_UNREACHABLE("VD-1201"),
@@ -31,23 +31,23 @@
     FRAME_TOO_LARGE("VD-1302"),
     /** A peer speaks another version of the protocol. */
     PROTOCOL_VERSION("VD-1303"),
-    /** A node's record or a datagram that can't be read. */
+    /** A member record or a datagram that can't be decoded. */
     RECORD_UNREADABLE("VD-1304"),
-    /** An intent names something unknown. */
+    /** An intent names an unknown service or upstream. */
     INTENT_UNKNOWN_TARGET("VD-1401"),
     /** An intent is out of bounds. */
     INTENT_OUT_OF_BOUNDS("VD-1402"),
     /** An intent is risky and needs an explicit flag. */
     INTENT_RISKY("VD-1403"),
-    /** A plan's base version is no longer in force. */
+    /** The base version of a change plan is no longer in force. */
     PLAN_STALE("VD-1404"),
-    /** A plan that isn't known or can't be read. */
+    /** A change plan that isn't known or can't be read. */
     PLAN_UNKNOWN("VD-1405"),
-    /** A document of routes that can't be read. */
+    /** A route plan that can't be read. */
     PLAN_UNREADABLE("VD-1406"),
     /** An answer of the platform's store that can't be read. */
     STORE_ANSWER_UNREADABLE("VD-1407"),
-    /** The store names its history by what is no number, or goes back to an earlier one. */
+    /** The epoch of the platform's store isn't a number, or goes back to an earlier one. */
     STORE_EPOCH_ODD("VD-1408"),
     /** A node can't be reached by the command-line tool. */
     NODE_UNREACHABLE("VD-1501"),
--- a/kernel/src/main/java/org/verbenadyke/kernel/error/VerbenadykeException.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/error/VerbenadykeException.java
@@ -4,7 +4,7 @@
 import java.util.ResourceBundle;
 
 /**
- * The unchecked exception of the project: a typed code and a message that names the remedy.
+ * The unchecked exception of the project, with a typed code and a message that states the remedy.
  */
 public final class VerbenadykeException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -21,7 +21,7 @@
      * Creates an exception.
      *
      * @param code the kind of error
-     * @param arguments what the message names, in the order of its place holders
+     * @param arguments the values of the placeholders of the message, in order
      * @return the exception, to be thrown
      */
     public static VerbenadykeException of(ErrorCode code, Object... arguments) {
@@ -32,7 +32,7 @@
      * Formats an error's message without throwing it.
      *
      * @param code the kind of error
-     * @param arguments what the message names, in the order of its place holders
+     * @param arguments the values of the placeholders of the message, in order
      * @return the code and the text
      */
     public static String describe(ErrorCode code, Object... arguments) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
@@ -1,10 +1,10 @@
 package org.verbenadyke.kernel.ledger;
 
 /**
- * A promise that was not kept.
+ * A violation of an invariant.
  *
- * @param invariant which one
- * @param subject the request, call or version concerned
- * @param history what was noted of it, oldest first
+ * @param invariant the invariant
+ * @param subject the request, call, key or version concerned
+ * @param history the recorded events of the subject, oldest first
  */
 public record Breach(Invariant invariant, String subject, String history) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
@@ -13,8 +13,8 @@
 import org.verbenadyke.kernel.call.RunState;
 
 /**
- * Notes what was handed over, refused, answered and applied, and checks the promises as it goes. What it notes is kept
- * for at least one generation. Safe for many threads.
+ * Records which calls were handed over, refused and answered and which configurations were applied, and checks the
+ * {@linkplain Invariant invariants} with each event. Events are retained for at least one generation. Thread-safe.
  */
 public final class Ledger {
     private final boolean on;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Creates a ledger that notes nothing.
+     * Creates a ledger that records and checks nothing.
      *
      * @return the ledger
      */
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Creates a ledger.
+     * Creates a ledger that checks the invariants.
      *
-     * @param listener is told of each breach
+     * @param listener called with each breach
      * @return the ledger
      */
     public static Ledger reportingTo(Consumer<Breach> listener) {
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Notes a minted budget.
+     * Records the creation of a retry budget.
      *
      * @param request the request
-     * @param retries its budget
+     * @param retries the number of retries in its budget
      */
     public void budgetCreated(RequestId request, int retries) {
         if (on) {
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Notes a retry taken out of a budget that was minted here.
+     * Records a retry taken from a budget that was created on this node.
      *
      * @param request the request
      */
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Notes an attempt that is being sent.
+     * Records that an attempt is sent.
      *
      * @param request the request
      * @param service the service called
@@ -88,10 +88,10 @@
     }
 
     /**
-     * Notes a whole answer given to the caller of this node.
+     * Records a complete answer to a caller of this node.
      *
-     * @param request the request it was given for
-     * @param call the attempt it came from
+     * @param request the request that was answered
+     * @param call the attempt that the answer came from
      */
     public void answered(RequestId request, CallId call) {
         if (!on) {
@@ -105,10 +105,10 @@
     }
 
     /**
-     * Notes a call handed to the upstream.
+     * Records that a call is handed to the upstream.
      *
      * @param call the call
-     * @param key its key, empty if none
+     * @param key its idempotency key, empty if none
      * @param idempotent whether it may run more than once
      */
     public void handedOver(CallId call, String key, boolean idempotent) {
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Notes that a call noted as handed over never reached the upstream, since no connection could be had.
+     * Records that a call recorded as handed over never reached the upstream, since no connection could be established.
      *
      * @param call the call
      */
@@ -145,7 +145,7 @@
     }
 
     /**
-     * Notes that the upstream said it did not run a keyed call, so that the key is free again.
+     * Records that the upstream reported a keyed call as not run, so that its key may be used again.
      *
      * @param key the key
      */
@@ -156,10 +156,10 @@
     }
 
     /**
-     * Notes a refusal sent to the node above.
+     * Records a refusal sent to the calling node.
      *
      * @param call the call
-     * @param state what was said
+     * @param state the run state in the refusal
      */
     public void refusedCall(CallId call, RunState state) {
         if (!on || state != RunState.NOT_RUN) {
@@ -173,7 +173,7 @@
     }
 
     /**
-     * Notes a hand-over of a call that arrived after the upstream had begun to leave.
+     * Records the hand-over of a call that arrived after the upstream had begun to drain.
      *
      * @param call the call
      */
@@ -184,7 +184,7 @@
     }
 
     /**
-     * Notes a configuration that came into force.
+     * Records a configuration that came into force.
      *
      * @param newVersion its version
      */
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Starts a generation and forgets the one before the last; called by one thread at a time. */
+    /** Starts a generation and discards the one before the last. Must be called by one thread at a time. */
     public void rotate() {
         Generations g = generations.get();
         generations.set(new Generations(g.current, new ConcurrentHashMap<>()));
@@ -215,9 +215,9 @@
     }
 
     /**
-     * What is kept.
+     * The two generations that are retained.
      *
-     * @param previous the older generation
+     * @param previous the older one
      * @param current the newer one
      */
     private record Generations(Map<Object, Track> previous, Map<Object, Track> current) {
@@ -227,14 +227,14 @@
     }
 
     /**
-     * A key as a subject.
+     * An idempotency key as a subject.
      *
      * @param value the key
      */
     private record Key(String value) {}
 
     /**
-     * What was noted of one subject.
+     * The recorded events of one subject.
      */
     private static final class Track {
         private static final int MAX_STEPS = 16;
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
@@ -4,16 +4,15 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Tells which history of a log answers speak of. A log that comes back from an older copy of itself has lost what was
- * acknowledged since that copy, and gives the offsets of those records out again; its epoch rises each time. Safe for
- * many threads.
+ * Detects which history of a log an answer refers to. A log that was restored from an older copy has lost the records
+ * acknowledged since that copy, and assigns their offsets again; its epoch rises with each restore. Thread-safe.
  *
- * <p>Load pattern: the log is away for a moment, and answers of before and after come by several connections in any
- * order. An answer of the history before counts for nothing that came after, and what was learned from it (offsets) is
- * of no use in the new one, also when that has grown past them and no answer says so.
+ * <p>Load pattern: the log is unavailable for a moment, and answers from before and after arrive over several
+ * connections in any order. An answer of the previous history must not be applied to the new one, and offsets learned
+ * from it are invalid there, even if the new history has grown past them and no answer shows it.
  */
 public final class LogEpoch {
-    /** The epoch before the first answer, and of answers that name none. */
+    /** The epoch before the first answer, and of answers without an epoch. */
     public static final long UNNAMED = 0;
 
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
@@ -23,25 +22,25 @@
     private LogEpoch() {}
 
     /**
-     * Creates the epoch of a log that hasn't answered yet.
+     * Creates an instance for a log that hasn't answered yet.
      *
-     * @return the epoch
+     * @return the instance
      */
     public static LogEpoch unknown() {
         return new LogEpoch();
     }
 
     /**
-     * Subscribes to the news that the history was replaced.
+     * Subscribes to replacements of the history.
      *
-     * @param listener is told of each new epoch
+     * @param listener called with each new epoch
      */
     public void onReplaced(Listener listener) {
         listeners.add(listener);
     }
 
     /**
-     * Returns the newest epoch that an answer named.
+     * Returns the current epoch.
      *
      * @return the epoch, {@link #UNNAMED} before the first answer
      */
@@ -50,13 +49,13 @@
     }
 
     /**
-     * Takes the epoch that an answer names, before anything else of the answer is looked at.
+     * Handles the epoch of an answer. Must be called before any other part of the answer is used.
      *
-     * @param asked the epoch that was current when the question was sent
+     * @param requested the epoch that was current when the request was sent
      * @param named the epoch that the answer names
-     * @return what the answer is worth
+     * @return whether the answer may be used
      */
-    public Verdict answered(long asked, long named) {
+    public Verdict answered(long requested, long named) {
         long before;
         synchronized (this) {
             before = current;
@@ -65,11 +64,11 @@
                 current = named;
                 return Verdict.CURRENT;
             }
-            // An answer that names none tells nothing, such as one of a machine in between.
+            // An answer without an epoch, such as one of an intermediary, says nothing about the history.
             if (named == before || named == UNNAMED) {
                 return Verdict.CURRENT;
             }
-            if (named < before && asked < before) {
+            if (named < before && requested < before) {
                 return Verdict.OUTDATED;
             }
             current = named;
@@ -79,29 +78,29 @@
     }
 
     /**
-     * What an answer is worth.
+     * States whether an answer may be used.
      */
     public enum Verdict {
-        /** It speaks of the history that is known. */
+        /** The answer belongs to the current history. */
         CURRENT,
-        /** It is the first to speak of a new history. */
+        /** The answer is the first one of a new history. */
         REPLACED,
-        /** It was on its way while the history was replaced, and counts for nothing. */
+        /** The history was replaced while the answer was in transit; the answer must be ignored. */
         OUTDATED,
-        /** It names an older epoch than one known when it was asked for, which no sound log does. */
+        /** The answer names an older epoch than the one known when it was requested, which no correct log does. */
         BACKWARDS
     }
 
     /**
-     * Takes the news that a log's history was replaced.
+     * Is notified when the history of a log is replaced.
      */
     @FunctionalInterface
     public interface Listener {
         /**
-         * Takes the news, before the answer that brought it.
+         * Called when the history was replaced, before the answer that revealed it is used.
          *
-         * @param before the epoch until now
-         * @param now the epoch from now on
+         * @param before the previous epoch
+         * @param now the new epoch
          */
         void replaced(long before, long now);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
@@ -5,58 +5,58 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's append-only log, as narrow as the system needs it. Any call may fail or take long; none blocks.
+ * The subset of the platform's append-only log that the system needs. Any call may fail or take long; none blocks.
  */
 public interface LogService {
     /**
      * Appends a record.
      *
      * @param stream the stream
-     * @param key what the record is about; a log that keeps the newest record of each key keeps it by this
+     * @param key the subject of the record, by which a compacted log retains the newest record of each subject
      * @param record the record
-     * @param taker is told once what came of it
+     * @param callback called once with the result
      */
-    void append(String stream, String key, byte[] record, Consumer<AppendResult> taker);
+    void append(String stream, String key, byte[] record, Consumer<AppendResult> callback);
 
     /**
      * Reads records.
      *
      * @param stream the stream
-     * @param fromOffset the first offset wanted
-     * @param waitMillis how long to wait for a record when there is none yet, in milliseconds
-     * @param taker is told once what was read
+     * @param fromOffset the offset to start at
+     * @param waitMillis how long to wait for a record if there is none yet, in milliseconds
+     * @param callback called once with the result
      */
-    void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker);
+    void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> callback);
 
     /**
-     * Subscribes to the news that the log lost what it had acknowledged, since its history was replaced by an older
-     * copy. From then on no offset of before means anything, and what was written lately may be gone. A log that never
-     * loses anything has no such news.
+     * Subscribes to replacements of the log's history by an older copy, after which acknowledged records may be lost.
+     * All earlier offsets are then invalid, and recent records may be gone. A log that never loses records never calls
+     * the listener.
      *
-     * @param listener is told of each new epoch, before any record of it is
+     * @param listener called with each new epoch, before any record of that epoch is delivered
      */
     default void onReplaced(LogEpoch.Listener listener) {}
 
     /**
-     * What came of an append.
+     * The result of an append.
      */
     sealed interface AppendResult {
         /**
-         * The record is on the log.
+         * The record was appended.
          *
          * @param offset its offset
          */
         record At(long offset) implements AppendResult {}
 
         /**
-         * The record may be on the log or not.
+         * The record may or may not have been appended.
          *
          * @param reason what went wrong
          */
         record Unknown(String reason) implements AppendResult {}
 
         /**
-         * The record is not on the log.
+         * The record was not appended.
          *
          * @param reason what went wrong
          */
@@ -64,24 +64,24 @@
     }
 
     /**
-     * What came of a read.
+     * The result of a read.
      */
     sealed interface ReadResult {
         /**
-         * Records were read, perhaps none.
+         * Records were read, possibly none.
          *
-         * @param firstOffset the oldest offset that the log still keeps
-         * @param nextOffset where to read on
+         * @param firstOffset the oldest offset that the log still holds
+         * @param nextOffset the offset to read from next
          * @param records the records in order
-         * @param complete whether nothing more stood on the log when it was read; false if that isn't known
+         * @param complete whether the log held no further records when it was read; false if that isn't known
          */
         record Records(long firstOffset, long nextOffset, List<LogRecord> records, boolean complete)
                 implements ReadResult {
             /**
-             * Creates a page of which isn't known whether it is the last.
+             * Creates a result of which isn't known whether the log holds further records.
              *
-             * @param firstOffset the oldest offset that the log still keeps
-             * @param nextOffset where to read on
+             * @param firstOffset the oldest offset that the log still holds
+             * @param nextOffset the offset to read from next
              * @param records the records in order
              */
             public Records(long firstOffset, long nextOffset, List<LogRecord> records) {
@@ -98,10 +98,10 @@
     }
 
     /**
-     * A record on the log.
+     * A record of the log.
      *
      * @param offset its offset
-     * @param key what it is about, if the log tells
+     * @param key its subject, if the log provides it
      * @param bytes its content
      */
     record LogRecord(long offset, Optional<String> key, byte[] bytes) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/RecordCodec.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/RecordCodec.java
@@ -1,13 +1,13 @@
 package org.verbenadyke.kernel.log;
 
 /**
- * Turns one type of record into bytes and back.
+ * Encodes and decodes one type of record.
  *
  * @param <T> the type
  */
 public interface RecordCodec<T> {
     /**
-     * Encodes.
+     * Encodes a record.
      *
      * @param record the record
      * @return the bytes
@@ -15,7 +15,7 @@
     byte[] encode(T record);
 
     /**
-     * Decodes.
+     * Decodes a record.
      *
      * @param bytes the bytes
      * @return the record
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlan.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlan.java
@@ -5,14 +5,14 @@
 import org.verbenadyke.kernel.config.Configuration;
 
 /**
- * What confirming some intents would do. Nothing changes until it is confirmed.
+ * The effects that confirming some intents would have. Nothing changes until the plan is confirmed.
  *
- * @param id names the plan; confirming it twice has one effect
- * @param base the version it was made for
- * @param next the configuration that confirming makes
- * @param differences what changes, one line each
- * @param consequences what follows from it, one line each
- * @param risks what needs an explicit consent, one line each
+ * @param id identifies the plan; confirming it twice has one effect
+ * @param base the version it is based on
+ * @param next the configuration that results from confirming it
+ * @param differences the changes, one line each
+ * @param consequences the consequences of the changes, one line each
+ * @param risks the risks that need explicit consent, one line each
  */
 public record ChangePlan(
         String id,
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.error.VerbenadykeException;
 
 /**
- * Turns intents into a plan.
+ * Turns intents into a change plan.
  */
 public final class ChangePlanner {
     private static final double HIGH_LOAD = 0.8;
@@ -34,26 +34,26 @@
     }
 
     /**
-     * Plans.
+     * Plans a change.
      *
-     * @param id the plan's name
+     * @param id the id of the plan
      * @param base the configuration in force
-     * @param intents what is wanted
-     * @param services what is known of the services
+     * @param intents the requested changes
+     * @param services the known services
      * @return the plan
-     * @throws InvalidIntentsException with every intent that is wrong
+     * @throws InvalidIntentsException with every problem of the intents
      */
     public static ChangePlan plan(String id, Configuration base, Intents intents, List<ServiceView> services) {
         return new ChangePlanner(id, base, services).plan(intents);
     }
 
     /**
-     * Plans to go forward to what an earlier version said.
+     * Plans a new version with the content of an earlier one.
      *
-     * @param id the plan's name
+     * @param id the id of the plan
      * @param base the configuration in force
-     * @param earlier the configuration to go back to
-     * @param services what is known of the services
+     * @param earlier the configuration to restore
+     * @param services the known services
      * @return the plan, for a new version
      */
     public static ChangePlan undo(String id, Configuration base, Configuration earlier, List<ServiceView> services) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
@@ -9,17 +9,17 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 
 /**
- * Words what tells two configurations apart.
+ * Describes the differences between two configurations.
  */
 public final class Differences {
     private Differences() {}
 
     /**
-     * Compares.
+     * Compares two configurations.
      *
-     * @param from the one
-     * @param to the other
-     * @return one line a difference, removed first
+     * @param from the old configuration
+     * @param to the new configuration
+     * @return one line for each difference; what is removed comes first
      */
     public static List<String> between(Configuration from, Configuration to) {
         List<String> lines = new ArrayList<>();
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Words a rule.
+     * Formats a rule.
      *
      * @param rule the rule
      * @return service, method, path and importance
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/InvalidIntentsException.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/InvalidIntentsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Thrown when intents can't be planned; carries every problem found.
+ * Thrown when intents are invalid; lists every problem found.
  */
 public final class InvalidIntentsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -18,7 +18,7 @@
     /**
      * Creates the exception.
      *
-     * @param problems each with its code and remedy
+     * @param problems the problems, each with its error code and remedy
      * @return the exception, to be thrown
      */
     public static InvalidIntentsException of(List<String> problems) {
@@ -28,7 +28,7 @@
     /**
      * Returns the problems.
      *
-     * @return one text each
+     * @return a sentence for each problem
      */
     public List<String> problems() {
         return problems;
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/Debounce.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/Debounce.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Runs a task once for all requests that come within a short time. Safe for many threads.
+ * Runs a task once for all requests that arrive within a short time. Thread-safe.
  */
 public final class Debounce {
     private final TimerService timers;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Creates one.
+     * Creates a debounced task.
      *
-     * @param timers the time
+     * @param timers the timers
      * @param delayNanos how long after the first request the task runs, in nanoseconds
      * @param task the task
      * @return the debounce
@@ -29,7 +29,7 @@
         return new Debounce(timers, delayNanos, task);
     }
 
-    /** Asks for a run. What is asked for after the task began is done by a further run. */
+    /** Requests a run. A request that arrives after the task started causes another run. */
     public void request() {
         if (requested.compareAndSet(false, true)) {
             timers.after(delayNanos, () -> {
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
@@ -1,33 +1,34 @@
 package org.verbenadyke.kernel.time;
 
 /**
- * Decides how long an event loop rests before it looks for events again, so that a busy node handles several at a time.
+ * Decides how long an event loop pauses before it polls for events again, so that a busy node handles events in
+ * batches.
  *
- * <p>Load pattern: many nodes share a processor, and each event wakes another of them. What a node costs is then mostly
- * the fetching of its code and data into the caches, once a wake-up, however little there is to do. A node that rests a
- * moment between two turns finds more events in the next one and pays that price once for all of them; what it writes
- * to another node in one turn also wakes that node only once.
+ * <p>Load pattern: many nodes share a processor, and each event wakes a different node. The cost of a node is then
+ * mostly that of loading its code and data into the caches at each wake-up, however little there is to do. A node that
+ * pauses briefly between two iterations finds more events in the next one and pays this cost once for all of them. Its
+ * writes to another node in one iteration also wake that node only once.
  *
- * <p>A loop whose turns are far apart never rests, so that a request on a quiet node waits for nobody. Not safe for
- * several threads: each loop has its own.
+ * <p>A loop whose iterations are far apart never pauses, so that a request on an idle node is not delayed. Not
+ * thread-safe: each loop has its own instance.
  */
 public final class EventLoopPacing {
     /**
-     * The rest between two turns in nanoseconds: the longest that still served a calm day as before (4 ms cost 1.7 % of
-     * its credit), and little against target latencies of a hundred milliseconds and more.
+     * Pause between two iterations in nanoseconds. The longest pause that did not degrade service under light load (4
+     * ms cost 1.7 % of the score there), and short compared to target latencies of 100 milliseconds and more.
      */
     public static final long PAUSE_NANOS = 2_000_000L;
 
     /**
-     * Turns closer than this on the average, in nanoseconds, make a loop busy: at twice the rest, a rest is expected to
-     * gather at least one more event.
+     * A loop is busy if the average gap between its iterations is shorter than this, in nanoseconds. At twice the
+     * pause, a pause is expected to collect at least one more event.
      */
     static final long BUSY_NANOS = 2 * PAUSE_NANOS;
 
-    /** Weight of the newest gap in the average: a burst counts after some turns, and a quiet moment ends it at once. */
+    /** Weight of the newest gap in the average: a burst counts after some iterations, one long gap ends it at once. */
     private static final double SMOOTHING = 0.125;
 
-    /** The longest gap that counts, in nanoseconds, so that a busy time after a long quiet one is soon noticed. */
+    /** Maximum gap that is averaged, in nanoseconds, so that load after a long idle time is detected soon. */
     private static final double MAX_GAP_NANOS = 10.0 * PAUSE_NANOS;
 
     private double gapNanos = MAX_GAP_NANOS;
@@ -36,7 +37,7 @@
     private EventLoopPacing() {}
 
     /**
-     * Creates the pacing of one loop, which counts as quiet.
+     * Creates the pacing of one loop, which initially counts as idle.
      *
      * @return the pacing
      */
@@ -45,10 +46,10 @@
     }
 
     /**
-     * Notes the end of a turn.
+     * Records the end of an iteration.
      *
      * @param nowNanos the time
-     * @return how long to rest before the next turn, in nanoseconds; 0 for not at all
+     * @return how long to pause before the next iteration, in nanoseconds; 0 for no pause
      */
     public long iterationEnded(long nowNanos) {
         if (lastNanos != Long.MIN_VALUE) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/PeriodicTask.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/PeriodicTask.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Re-subscribes a task after each of its runs until it is cancelled.
+ * Schedules a task again after each of its runs until it is cancelled.
  */
 public final class PeriodicTask implements Subscription, Runnable {
     private final TimerService timers;
@@ -18,23 +18,23 @@
         this.task = task;
     }
 
-    /** Runs a task a period after each of its runs. */
+    /** Runs a task repeatedly, with a fixed delay after each run. */
     static PeriodicTask start(TimerService timers, long periodNanos, Runnable task) {
         return subscribe(new PeriodicTask(timers, () -> periodNanos, task));
     }
 
     /**
-     * Runs a task at the multiples of its period; those that passed meanwhile are left out.
+     * Runs a task at the multiples of its period. Multiples that passed while it ran are skipped.
      *
-     * @param timers the time
-     * @param originNanos the time that the multiples count from
+     * @param timers the timers
+     * @param originNanos the time from which the multiples are counted
      * @param periodNanos the period, in nanoseconds
      * @param task the task
-     * @return cancels it
+     * @return the subscription, to cancel it
      */
     public static Subscription aligned(TimerService timers, long originNanos, long periodNanos, Runnable task) {
-        LongSupplier rest = () -> periodNanos - Math.floorMod(timers.nanos() - originNanos, periodNanos);
-        return subscribe(new PeriodicTask(timers, rest, task));
+        LongSupplier untilNext = () -> periodNanos - Math.floorMod(timers.nanos() - originNanos, periodNanos);
+        return subscribe(new PeriodicTask(timers, untilNext, task));
     }
 
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/Subscription.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/Subscription.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.time;
 
 /**
- * A task waiting for its time.
+ * A scheduled task.
  */
 @FunctionalInterface
 public interface Subscription {
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/TimerService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/TimerService.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.kernel.time;
 
 /**
- * The one source of time. Parts subscribe to it and never start threads of their own.
+ * The only source of time and timers. Components schedule their tasks here and never start threads.
  */
 public interface TimerService {
     /**
@@ -28,9 +28,9 @@
     Subscription after(long delayNanos, Runnable task);
 
     /**
-     * Runs a task again and again.
+     * Runs a task repeatedly.
      *
-     * @param periodNanos the time between two runs in nanoseconds
+     * @param periodNanos the delay between two runs in nanoseconds
      * @param task the task; it must not block
      * @return the subscription, to cancel it
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/VirtualTimerService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/VirtualTimerService.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A timer service on a virtual clock that moves only when told to. Single-threaded; the same subscriptions give the
- * same order of runs each time.
+ * A timer service on a virtual clock that moves only when advanced explicitly. Single-threaded; the same subscriptions
+ * always run in the same order.
  */
 public final class VirtualTimerService implements TimerService {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -23,8 +23,8 @@
     /**
      * Creates a clock.
      *
-     * @param wallStartMillis the wall clock's reading at the start, in milliseconds since the epoch
-     * @return the clock, at zero nanoseconds
+     * @param wallStartMillis the initial time of the wall clock, in milliseconds since the epoch
+     * @return the timer service, with its monotonic clock at zero nanoseconds
      */
     public static VirtualTimerService startingAt(long wallStartMillis) {
         return new VirtualTimerService(wallStartMillis);
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Moves the clock on and runs what falls due, in order.
+     * Advances the clock and runs the tasks that fall due, in order.
      *
-     * @param nanos how far, in nanoseconds
+     * @param nanos how far to advance, in nanoseconds
      */
     public void advance(long nanos) {
         long end = now + nanos;
@@ -63,16 +63,16 @@
     }
 
     /**
-     * Moves the clock on without running anything, as a paused process sees it.
+     * Advances the clock without running any task, as if the process had been paused.
      *
-     * @param nanos how far, in nanoseconds
+     * @param nanos how far to advance, in nanoseconds
      */
     public void jump(long nanos) {
         now += nanos;
     }
 
     /**
-     * One waiting task; a cancelled one stays in the queue until its time and does nothing then.
+     * A scheduled task. A cancelled task stays in the queue until it is due, and does nothing then.
      */
     private static final class Entry {
         private final long due;
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/DecisionLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/DecisionLog.java
@@ -1,19 +1,19 @@
 package org.verbenadyke.kernel.trace;
 
 /**
- * Takes decisions to be explained later. Must not block, and may leave some out when there are too many.
+ * Records decisions for operators. Must not block, and may omit decisions when there are too many.
  */
 @FunctionalInterface
 public interface DecisionLog {
     /**
-     * Takes a decision.
+     * Records a decision.
      *
      * @param decision the decision
      */
     void note(Decision decision);
 
     /**
-     * Returns a log that keeps nothing.
+     * Returns a log that discards all decisions.
      *
      * @return the log
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
@@ -7,47 +7,47 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Bounds how many lines of each kind go out a second, and counts those left out. Safe for many threads.
+ * Limits the number of log lines of each kind per second, and counts the lines it suppresses. Thread-safe.
  *
- * <p>Load pattern: under overload some hundred requests a second are refused on a node for the same reason; the first
- * lines of a second tell what the others would, and writing all of them would cost what is short.
+ * <p>Load pattern: under overload a node refuses some hundred requests a second for the same reason. The first lines of
+ * a second say as much as the others would, and writing all of them would take up the processor time that is short.
  */
 public final class LineRateLimiter {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final TimerService timers;
     private final int maxLines;
-    private final Map<String, Window> seconds = new ConcurrentHashMap<>();
+    private final Map<String, Window> windows = new ConcurrentHashMap<>();
 
-    private LineRateLimiter(TimerService timers, int linesMost) {
+    private LineRateLimiter(TimerService timers, int maxLines) {
         this.timers = timers;
-        this.maxLines = linesMost;
+        this.maxLines = maxLines;
     }
 
     /**
-     * Creates a budget.
+     * Creates a rate limiter.
      *
-     * @param timers the time
-     * @param linesMost lines of each kind in a second
-     * @return the budget
+     * @param timers the clock
+     * @param maxLines the maximum number of lines of each kind per second
+     * @return the rate limiter
      */
-    public static LineRateLimiter of(TimerService timers, int linesMost) {
-        return new LineRateLimiter(timers, linesMost);
+    public static LineRateLimiter of(TimerService timers, int maxLines) {
+        return new LineRateLimiter(timers, maxLines);
     }
 
     /**
-     * Asks for a line.
+     * Requests to write a line.
      *
-     * @param kind the line's kind
-     * @return how many lines of the kind were left out before it, or -1 when it is to be left out too
+     * @param kind the kind of the line
+     * @return how many lines of the kind were suppressed before this one, or -1 if this line must be suppressed too
      */
     public int take(String kind) {
         long now = timers.nanos();
-        Window second = seconds.computeIfAbsent(kind, k -> new Window(now));
-        return second.take(now, maxLines);
+        Window window = windows.computeIfAbsent(kind, k -> new Window(now));
+        return window.take(now, maxLines);
     }
 
-    /** The lines of one kind in the current second. */
+    /** Counts the lines of one kind in the current second. */
     private static final class Window {
         private final AtomicInteger suppressed = new AtomicInteger();
         private long startNanos;
--- a/kernel/src/test/java/org/verbenadyke/kernel/ExplicitEqualityTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/ExplicitEqualityTest.java
@@ -16,14 +16,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-/** Tests that records whose equality is written out compare every component. */
+/** Tests that records with explicit {@code equals} and {@code hashCode} methods compare every component. */
 final class ExplicitEqualityTest {
     private static final Endpoint HERE = new Endpoint("h", 1);
     private static final Endpoint THERE = new Endpoint("h", 2);
     private static final Location LOCATION = new Location("r", "d");
     private static final Location ELSEWHERE = new Location("r", "e");
 
-    /** Lists of values that all differ, each from the first in one component. */
+    /** Returns lists of distinct values; each value differs from the first one in one component. */
     static Stream<List<Object>> different() {
         return Stream.of(
                 List.of(HERE, THERE, new Endpoint("i", 1)),
--- a/kernel/src/test/java/org/verbenadyke/kernel/KernelArchitectureTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/KernelArchitectureTest.java
@@ -8,7 +8,7 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
-/** Keeps the kernel free of input, output and threads. */
+/** Checks that the kernel does no I/O, starts no threads and uses no clock or randomness of its own. */
 final class KernelArchitectureTest {
     private final JavaClasses kernel = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
--- a/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialExecutorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialExecutorTest.java
@@ -14,7 +14,7 @@
     private final SerialExecutor serial = SerialExecutor.create();
     private int plain;
 
-    /** Adds through the runner; two adds at once would lose one. */
+    /** Increments through the executor; two concurrent increments would lose one. */
     @Operation
     public void add() {
         serial.run(() -> plain = plain + 1);
--- a/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigLogReaderTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigLogReaderTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link ConfigLogReader} and the fold in {@link ConfigState}. */
+/** Tests {@link ConfigLogReader} and how {@link ConfigState} applies entries. */
 final class ConfigLogReaderTest {
     private final ConfigLogReader reader = ConfigLogReader.create();
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/EventLoopPacingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/EventLoopPacingTest.java
@@ -11,9 +11,10 @@
 final class EventLoopPacingTest {
     private static final long MILLI = 1_000_000L;
 
-    /** What a wake-up costs beside its events, and what each event costs, in nanoseconds: measured, rounded. */
+    /** Processor time of a wake-up without its events, in nanoseconds; rounded from measurements. */
     private static final long WAKE_UP_NANOS = 60_000L;
 
+    /** Processor time of each event, in nanoseconds; rounded from measurements. */
     private static final long EVENT_NANOS = 15_000L;
 
     @Test
@@ -47,7 +48,7 @@
         assertEquals(0, pacing.iterationEnded(now + 20 * MILLI));
     }
 
-    /** Replays a node's events under a heavy load: some thousand a second, at random moments. */
+    /** Simulates a node under heavy load: some thousand events a second, at random times. */
     @Test
     void halvesTheProcessorTimeOfABusyNode() {
         Replay without = replay(3_000, false);
@@ -85,7 +86,7 @@
     }
 
     /**
-     * What a replay came to.
+     * The result of a simulation.
      *
      * @param busyNanos the processor time
      * @param longestWaitNanos the longest time from an event to its handling
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/PeriodicTaskTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/PeriodicTaskTest.java
@@ -48,7 +48,7 @@
             try {
                 clock.advance(100);
             } catch (IllegalStateException e) {
-                // The clock of the test passes it on; the loop logs it.
+                // The test clock rethrows the exception; a real event loop logs it.
             }
         }
         assertEquals(2, runs.size());
