--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
@@ -10,13 +10,13 @@
     private static final long UNIT = 1_000L;
 
     private final AtomicLong credit;
-    private final long gain;
-    private final long cap;
+    private final long creditPerSuccess;
+    private final long maxCredit;
 
     private RatioBudget(double ratio, int burst) {
-        this.gain = Math.round(ratio * UNIT);
-        this.cap = burst * UNIT;
-        this.credit = new AtomicLong(cap);
+        this.creditPerSuccess = Math.round(ratio * UNIT);
+        this.maxCredit = burst * UNIT;
+        this.credit = new AtomicLong(maxCredit);
     }
 
     /**
@@ -33,7 +33,7 @@
     /** Records a successful call. */
     public void succeeded() {
         long seen = credit.get();
-        while (seen < cap && !credit.compareAndSet(seen, Math.min(cap, seen + gain))) {
+        while (seen < maxCredit && !credit.compareAndSet(seen, Math.min(maxCredit, seen + creditPerSuccess))) {
             seen = credit.get();
         }
     }
@@ -57,7 +57,7 @@
     /** Returns a retry that was taken but not made. */
     public void putBack() {
         long seen = credit.get();
-        while (!credit.compareAndSet(seen, Math.min(cap, seen + UNIT))) {
+        while (!credit.compareAndSet(seen, Math.min(maxCredit, seen + UNIT))) {
             seen = credit.get();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
@@ -3,7 +3,7 @@
 /**
  * How often the configuration stream is read and written.
  *
- * @param followed whether the stream is read at all; false for a node that gets its configuration in another way
+ * @param follows whether the stream is read at all; false for a node that gets its configuration in another way
  * @param pollMillis how long a tailing node lets the log wait for an entry, in milliseconds
  * @param idleNanos how often the other nodes read, in nanoseconds
  * @param retryNanos how long to wait after a failure, in nanoseconds
@@ -11,7 +11,7 @@
  * @param snapshotNanos how often a snapshot of the state is appended, in nanoseconds
  */
 public record ConfigSettings(
-        boolean followed, long pollMillis, long idleNanos, long retryNanos, long confirmNanos, long snapshotNanos) {
+        boolean follows, long pollMillis, long idleNanos, long retryNanos, long confirmNanos, long snapshotNanos) {
     private static final long SECOND = 1_000_000_000L;
     private static final long DEFAULT_POLL_MILLIS = 5_000;
     private static final long DEFAULT_IDLE_SECONDS = 30;
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -31,7 +31,7 @@
     private final ConfigSettings settings;
     private final ConfigLogReader reader = ConfigLogReader.create();
     private final SerialExecutor serial = SerialExecutor.create();
-    private final Map<String, PendingConfirmation> confirming = new HashMap<>();
+    private final Map<String, PendingConfirmation> pendingConfirmations = new HashMap<>();
     private final AtomicLong readNanos;
     private volatile ConfigState published;
     private volatile boolean synced;
@@ -52,7 +52,7 @@
      */
     public static ConfigStore start(Parts parts, ConfigSettings settings) {
         ConfigStore store = new ConfigStore(parts, settings);
-        if (!settings.followed()) {
+        if (!settings.follows()) {
             return store;
         }
         store.serial.run(store::read);
@@ -138,12 +138,12 @@
 
     private void append(ConfigEntry.Change change, Consumer<ConfirmOutcome> callback) {
         PendingConfirmation pending = new PendingConfirmation(callback);
-        confirming.put(change.id(), pending);
+        pendingConfirmations.put(change.id(), pending);
         parts.timers()
                 .after(
                         settings.confirmNanos(),
                         () -> serial.run(() -> {
-                            confirming.remove(change.id(), pending);
+                            pendingConfirmations.remove(change.id(), pending);
                             pending.complete(new ConfirmOutcome.Unknown("the log did not show the change in time"));
                         }));
         parts.log()
@@ -159,7 +159,7 @@
                                     parts.counters().count(Event.LOG_FAILED);
                                 case LogService.AppendResult.Failed f -> {
                                     parts.counters().count(Event.LOG_FAILED);
-                                    confirming.remove(change.id(), pending);
+                                    pendingConfirmations.remove(change.id(), pending);
                                     pending.complete(new ConfirmOutcome.NotAppended(f.reason()));
                                 }
                             }
@@ -203,7 +203,7 @@
     }
 
     private boolean followsClosely() {
-        return parts.tailing().getAsBoolean() || !confirming.isEmpty() || !reader.synced();
+        return parts.tailing().getAsBoolean() || !pendingConfirmations.isEmpty() || !reader.synced();
     }
 
     private void publish() {
@@ -217,7 +217,7 @@
         if (before == null || before.version() < published.version()) {
             parts.inForce().accept(published.configuration());
         }
-        confirming
+        pendingConfirmations
                 .entrySet()
                 .removeIf(e -> published
                         .decision(e.getKey())
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -133,8 +133,8 @@
                 content,
                 importance,
                 0,
-                parts.timers().nanos() + ttl(inbound),
-                parts.timers().nanos() + ttl(inbound),
+                parts.timers().nanos() + ttlNanos(inbound),
+                parts.timers().nanos() + ttlNanos(inbound),
                 inbound.idempotent(),
                 inbound.key(),
                 false,
@@ -194,7 +194,7 @@
         }
         CallContext c = context.get();
         parts.counters().count(Event.REQUEST_IN);
-        long deadline = Math.min(c.deadlineNanos(), parts.timers().nanos() + ttl(inbound));
+        long deadline = Math.min(c.deadlineNanos(), parts.timers().nanos() + ttlNanos(inbound));
         RetryBudget budget = policy.perHopRetries() > 0 ? RootBudget.of(policy.perHopRetries()) : c.budget();
         Request request = new Request(
                 c.request(),
@@ -300,7 +300,7 @@
         return dispatcher;
     }
 
-    private long ttl(InboundRequest inbound) {
+    private long ttlNanos(InboundRequest inbound) {
         long maxTtl = policy.serve().maxTtlNanos();
         return Math.min(maxTtl, inbound.ttlNanos().orElse(policy.defaultTtlNanos()));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
@@ -17,13 +17,13 @@
  * {@linkplain Invariant invariants} with each event. Events are retained for at least one generation. Thread-safe.
  */
 public final class Ledger {
-    private final boolean on;
+    private final boolean enabled;
     private final Consumer<Breach> listener;
     private final AtomicReference<Generations> generations = new AtomicReference<>(Generations.empty());
     private final AtomicLong version = new AtomicLong(Long.MIN_VALUE);
 
-    private Ledger(boolean on, Consumer<Breach> listener) {
-        this.on = on;
+    private Ledger(boolean enabled, Consumer<Breach> listener) {
+        this.enabled = enabled;
         this.listener = listener;
     }
 
@@ -53,8 +53,8 @@
      * @param retries the number of retries in its budget
      */
     public void budgetCreated(RequestId request, int retries) {
-        if (on) {
-            track(request).note(t -> t.budget = retries, "minted " + retries);
+        if (enabled) {
+            historyOf(request).append(h -> h.budget = retries, "budget created: " + retries);
         }
     }
 
@@ -64,13 +64,13 @@
      * @param request the request
      */
     public void spent(RequestId request) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(request);
-        t.note(x -> x.spent++, "spent");
-        if (t.budget >= 0 && t.spent > t.budget) {
-            breach(Invariant.RETRIES_BOUNDED, request, t);
+        History history = historyOf(request);
+        history.append(h -> h.spent++, "spent");
+        if (history.budget >= 0 && history.spent > history.budget) {
+            breach(Invariant.RETRIES_BOUNDED, request, history);
         }
     }
 
@@ -82,8 +82,8 @@
      * @param call the attempt
      */
     public void attempted(RequestId request, String service, CallId call) {
-        if (on) {
-            track(call).note(t -> t.request = request, "sent to " + service);
+        if (enabled) {
+            historyOf(call).append(h -> h.request = request, "sent to " + service);
         }
     }
 
@@ -94,13 +94,13 @@
      * @param call the attempt that the answer came from
      */
     public void answered(RequestId request, CallId call) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.answers++, "answered");
-        if (t.answers > 1 || t.request != null && !t.request.equals(request)) {
-            breach(Invariant.ANSWER_MATCHED, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.answers++, "answered");
+        if (history.answers > 1 || history.request != null && !history.request.equals(request)) {
+            breach(Invariant.ANSWER_MATCHED, call, history);
         }
     }
 
@@ -112,24 +112,24 @@
      * @param idempotent whether it may run more than once
      */
     public void handedOver(CallId call, String key, boolean idempotent) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.handed++, "handed over");
-        if (t.handed > 1) {
-            breach(Invariant.AT_MOST_ONCE, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.handOvers++, "handed over");
+        if (history.handOvers > 1) {
+            breach(Invariant.AT_MOST_ONCE, call, history);
         }
-        if (t.refusedNotRun) {
-            breach(Invariant.NOT_RUN_IS_TRUE, call, t);
+        if (history.refusedNotRun) {
+            breach(Invariant.NOT_RUN_IS_TRUE, call, history);
         }
         if (idempotent || key.isEmpty()) {
             return;
         }
-        Track k = track(new Key(key));
-        k.note(x -> x.handed++, "handed over as " + call);
-        if (k.handed > 1) {
-            breach(Invariant.AT_MOST_ONCE, "key " + key, k);
+        History keyHistory = historyOf(new Key(key));
+        keyHistory.append(h -> h.handOvers++, "handed over as " + call);
+        if (keyHistory.handOvers > 1) {
+            breach(Invariant.AT_MOST_ONCE, "key " + key, keyHistory);
         }
     }
 
@@ -139,8 +139,8 @@
      * @param call the call
      */
     public void neverReached(CallId call) {
-        if (on) {
-            track(call).note(x -> x.handed--, "upstream not reached");
+        if (enabled) {
+            historyOf(call).append(h -> h.handOvers--, "upstream not reached");
         }
     }
 
@@ -150,8 +150,8 @@
      * @param key the key
      */
     public void keyFreed(String key) {
-        if (on) {
-            track(new Key(key)).note(x -> x.handed = 0, "not run by the upstream");
+        if (enabled) {
+            historyOf(new Key(key)).append(h -> h.handOvers = 0, "not run by the upstream");
         }
     }
 
@@ -162,13 +162,13 @@
      * @param state the run state in the refusal
      */
     public void refusedCall(CallId call, RunState state) {
-        if (!on || state != RunState.NOT_RUN) {
+        if (!enabled || state != RunState.NOT_RUN) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.refusedNotRun = true, "refused as not run");
-        if (t.handed > 0) {
-            breach(Invariant.NOT_RUN_IS_TRUE, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.refusedNotRun = true, "refused as not run");
+        if (history.handOvers > 0) {
+            breach(Invariant.NOT_RUN_IS_TRUE, call, history);
         }
     }
 
@@ -178,8 +178,8 @@
      * @param call the call
      */
     public void handedWhileDraining(CallId call) {
-        if (on) {
-            breach(Invariant.DRAINED_GETS_NOTHING, call, track(call));
+        if (enabled) {
+            breach(Invariant.DRAINED_GETS_NOTHING, call, historyOf(call));
         }
     }
 
@@ -189,7 +189,7 @@
      * @param newVersion its version
      */
     public void applied(long newVersion) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
         long before = version.getAndUpdate(v -> Math.max(v, newVersion));
@@ -204,14 +204,14 @@
         generations.set(new Generations(g.current, new ConcurrentHashMap<>()));
     }
 
-    private Track track(Object subject) {
+    private History historyOf(Object subject) {
         Generations g = generations.get();
-        Track old = g.previous.get(subject);
-        return old != null ? old : g.current.computeIfAbsent(subject, s -> new Track());
+        History older = g.previous.get(subject);
+        return older != null ? older : g.current.computeIfAbsent(subject, s -> new History());
     }
 
-    private void breach(Invariant promise, Object subject, Track track) {
-        listener.accept(new Breach(promise, subject.toString(), track.history()));
+    private void breach(Invariant invariant, Object subject, History history) {
+        listener.accept(new Breach(invariant, subject.toString(), history.text()));
     }
 
     /**
@@ -220,7 +220,7 @@
      * @param previous the older one
      * @param current the newer one
      */
-    private record Generations(Map<Object, Track> previous, Map<Object, Track> current) {
+    private record Generations(Map<Object, History> previous, Map<Object, History> current) {
         static Generations empty() {
             return new Generations(new ConcurrentHashMap<>(), new ConcurrentHashMap<>());
         }
@@ -236,25 +236,25 @@
     /**
      * The recorded events of one subject.
      */
-    private static final class Track {
+    private static final class History {
         private static final int MAX_STEPS = 16;
 
         private final List<String> steps = new ArrayList<>(2);
         private volatile RequestId request;
         private volatile int budget = -1;
         private volatile int spent;
-        private volatile int handed;
+        private volatile int handOvers;
         private volatile int answers;
         private volatile boolean refusedNotRun;
 
-        synchronized void note(Consumer<Track> change, String step) {
+        synchronized void append(Consumer<History> change, String step) {
             change.accept(this);
             if (steps.size() < MAX_STEPS) {
                 steps.add(step);
             }
         }
 
-        synchronized String history() {
+        synchronized String text() {
             return String.join(", ", steps);
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
@@ -16,7 +16,7 @@
     public static final long UNNAMED = 0;
 
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
-    private boolean known;
+    private boolean initialized;
     private volatile long current = UNNAMED;
 
     private LogEpoch() {}
@@ -59,8 +59,8 @@
         long before;
         synchronized (this) {
             before = current;
-            if (!known) {
-                known = true;
+            if (!initialized) {
+                initialized = true;
                 current = named;
                 return Verdict.CURRENT;
             }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
@@ -21,5 +21,5 @@
     record OwnedElsewhere() implements Ownership {}
 
     /** A former owner is gone, and may have run an earlier try. */
-    record Uncertain() implements Ownership {}
+    record InDoubt() implements Ownership {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -74,7 +74,7 @@
         }
         switch (view.of(local, key)) {
             case Ownership.OwnedElsewhere e -> callback.accept(new Outcome.OwnedElsewhere());
-            case Ownership.Uncertain u -> callback.accept(new Outcome.Uncertain());
+            case Ownership.InDoubt u -> callback.accept(new Outcome.Uncertain());
             case Ownership.Owned o ->
                 queryAll(o, key, local, certain -> callback.accept(claimed(local, key, fingerprint, certain)));
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -96,12 +96,12 @@
             }
         }
         if (departedOwner(service, ownId, key)) {
-            return new Ownership.Uncertain();
+            return new Ownership.InDoubt();
         }
         Optional<Upstream> predecessor = Optional.empty();
         if (timers.nanos() - ownSinceNanos < settings.keyRetentionNanos()) {
             if (next.isEmpty() && !createdAfter(key, ownSinceNanos)) {
-                return new Ownership.Uncertain();
+                return new Ownership.InDoubt();
             }
             predecessor = next.flatMap(MemberRecord::upstream);
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
@@ -106,8 +106,8 @@
         for (int i = 0; i < rules.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
-                    consequences.add("rule " + Differences.describe(rules.get(i)) + " never decides: rule "
-                            + Differences.describe(rules.get(j)) + " stands before it and covers it");
+                    consequences.add("rule " + Differences.describe(rules.get(i)) + " never applies: rule "
+                            + Differences.describe(rules.get(j)) + " comes before it and matches the same requests");
                     break;
                 }
             }
@@ -144,12 +144,12 @@
             return ", load not known";
         }
         double expected = service.load().getAsDouble() * before / after;
-        String words = String.format(
+        String text = String.format(
                 Locale.ROOT,
                 ", load %d%% -> %d%%",
                 Math.round(service.load().getAsDouble() * PERCENT),
                 Math.round(expected * PERCENT));
-        return expected > HIGH_LOAD ? words + ", more than can be carried with ease" : words;
+        return expected > HIGH_LOAD ? text + ", which leaves little spare capacity" : text;
     }
 
     private static Set<String> dataCentres(ServiceView service) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanCheck.java
@@ -26,15 +26,15 @@
         Set<String> seen = new HashSet<>();
         for (Route r : plan.routes()) {
             if (!seen.add(r.host() + r.prefix())) {
-                problems.add("Route " + r.name() + " has the host and prefix of another route; drop one.");
+                problems.add("Route " + r.name() + " has the host and prefix of another route; remove one.");
             }
-            check(r, services, problems);
+            checkRoute(r, services, problems);
         }
         plan.teams().ifPresent(t -> problems.addAll(TeamCheck.problems(t.entries())));
         return problems;
     }
 
-    private static void check(Route r, Set<String> services, List<String> problems) {
+    private static void checkRoute(Route r, Set<String> services, List<String> problems) {
         if (!r.prefix().startsWith("/") || !r.prefix().endsWith("/")) {
             problems.add("Route " + r.name() + " has the prefix " + r.prefix() + "; begin and end it with a slash.");
         }
@@ -42,10 +42,11 @@
             problems.add("Route " + r.name() + " allows no attempt; allow at least one.");
         }
         if (r.timeoutNanos() <= 0) {
-            problems.add("Route " + r.name() + " has no time to answer; give it a timeout above zero.");
+            problems.add("Route " + r.name() + " has no timeout; set one above zero.");
         }
         if (r.shares().stream().mapToLong(ServiceShare::weight).sum() <= 0) {
-            problems.add("Route " + r.name() + " leads nowhere; give one of its services a weight above zero.");
+            problems.add("Route " + r.name()
+                    + " has no service to send requests to; give one of its services a weight above zero.");
         }
         for (ServiceShare s : r.shares()) {
             if (!services.contains(s.service())) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanStore.java
@@ -49,7 +49,7 @@
     public static RoutePlanStore disabled() {
         return new RoutePlanStore(
                 document -> {
-                    throw unreadable("this node is not given routes");
+                    throw unreadable("this node has no route plan");
                 },
                 Counters.create(),
                 new Listener() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -54,7 +54,7 @@
     private volatile int reportedLimit;
     private volatile boolean draining;
     private volatile long ejectedUntil = Long.MIN_VALUE;
-    private volatile int ejections;
+    private volatile int consecutiveEjections;
     private volatile double shedRate;
     private volatile long shedNanos;
 
@@ -120,7 +120,7 @@
         errorRate *= 1 - ERROR_SMOOTHING;
         shedRate *= 1 - ERROR_SMOOTHING;
         consecutiveFailures.set(0);
-        ejections = 0;
+        consecutiveEjections = 0;
     }
 
     /**
@@ -135,8 +135,8 @@
         if (ejected(nowNanos) || row < EJECT_AFTER && errorRate < EJECT_ERROR_RATE) {
             return false;
         }
-        ejectedUntil = nowNanos + (FIRST_EJECTION_NANOS << Math.min(ejections, EJECTION_DOUBLINGS));
-        ejections++;
+        ejectedUntil = nowNanos + (FIRST_EJECTION_NANOS << Math.min(consecutiveEjections, EJECTION_DOUBLINGS));
+        consecutiveEjections++;
         consecutiveFailures.set(EJECT_AFTER - 1);
         errorRate = EJECT_ERROR_RATE / 2;
         return true;
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/TeamCheck.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/TeamCheck.java
@@ -43,15 +43,15 @@
     }
 
     private static void check(String name, RateLimit limit, List<String> problems) {
-        if (!allowed(limit.perSecond())) {
+        if (!inRange(limit.perSecond())) {
             problems.add("Team " + name + " has a rate out of range; set it from 0 to a billion a second.");
         }
-        if (!allowed(limit.burst())) {
+        if (!inRange(limit.burst())) {
             problems.add("Team " + name + " has a burst out of range; set it from 0 to a billion requests.");
         }
     }
 
-    private static boolean allowed(double value) {
+    private static boolean inRange(double value) {
         return value >= 0 && value <= MAX_LIMIT;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
@@ -31,8 +31,8 @@
     /** Maximum gap that is averaged, in nanoseconds, so that load after a long idle time is detected soon. */
     private static final double MAX_GAP_NANOS = 10.0 * PAUSE_NANOS;
 
-    private double gapNanos = MAX_GAP_NANOS;
-    private long lastNanos = Long.MIN_VALUE;
+    private double averageGapNanos = MAX_GAP_NANOS;
+    private long lastEndNanos = Long.MIN_VALUE;
 
     private EventLoopPacing() {}
 
@@ -52,11 +52,11 @@
      * @return how long to pause before the next iteration, in nanoseconds; 0 for no pause
      */
     public long iterationEnded(long nowNanos) {
-        if (lastNanos != Long.MIN_VALUE) {
-            double gap = Math.min(MAX_GAP_NANOS, nowNanos - lastNanos);
-            gapNanos += SMOOTHING * (gap - gapNanos);
+        if (lastEndNanos != Long.MIN_VALUE) {
+            double gap = Math.min(MAX_GAP_NANOS, nowNanos - lastEndNanos);
+            averageGapNanos += SMOOTHING * (gap - averageGapNanos);
         }
-        lastNanos = nowNanos;
-        return gapNanos < BUSY_NANOS ? PAUSE_NANOS : 0;
+        lastEndNanos = nowNanos;
+        return averageGapNanos < BUSY_NANOS ? PAUSE_NANOS : 0;
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -65,10 +65,10 @@
         String before = keyNow();
         clock.advance(SECOND);
         table.merge(record("b", 1).withState(MemberState.DEAD, clock.wallMillis()), clock.nanos());
-        assertInstanceOf(Ownership.Uncertain.class, view.of(a, before));
+        assertInstanceOf(Ownership.InDoubt.class, view.of(a, before));
         clock.advance(3 * SECOND);
         assertInstanceOf(Ownership.Owned.class, view.of(a, keyNow()));
-        assertInstanceOf(Ownership.Uncertain.class, view.of(a, "a-key-that-tells-no-time"));
+        assertInstanceOf(Ownership.InDoubt.class, view.of(a, "a-key-that-tells-no-time"));
         clock.advance(RETENTION);
         assertInstanceOf(Ownership.Owned.class, view.of(a, "a-key-that-tells-no-time"));
     }
