--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
@@ -89,7 +89,7 @@
             synced = true;
         }
         nextOffset = Math.max(nextOffset, next);
-        new TreeMap<>(entries).forEach(this::take);
+        new TreeMap<>(entries).forEach(this::handleEntry);
     }
 
     /**
@@ -121,7 +121,7 @@
         return readFrom <= received.offset() + 1;
     }
 
-    private void take(long offset, ConfigEntry entry) {
+    private void handleEntry(long offset, ConfigEntry entry) {
         if (synced) {
             adopt(state.after(offset, entry));
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
@@ -23,13 +23,13 @@
 
     /** Returns the budget of a key; each call after the first takes one retry from it to pay for the resend. */
     RootBudget of(String key, int retries, long now) {
-        Entry fresh = new Entry(RootBudget.of(retries), now);
-        Entry seen = entries.putIfAbsent(key, fresh);
-        if (seen == null) {
-            return fresh.budget();
+        Entry created = new Entry(RootBudget.of(retries), now);
+        Entry existing = entries.putIfAbsent(key, created);
+        if (existing == null) {
+            return created.budget();
         }
-        seen.budget().take();
-        return seen.budget();
+        existing.budget().take();
+        return existing.budget();
     }
 
     void expire(long now) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
@@ -38,18 +38,18 @@
      * @return the result of the claim
      */
     public Claim claim(String key, long fingerprint, long nowNanos) {
-        Entry mine = new Entry(fingerprint, nowNanos);
-        Entry seen = entries.putIfAbsent(key, mine);
-        if (seen == null) {
+        Entry claimed = new Entry(fingerprint, nowNanos);
+        Entry existing = entries.putIfAbsent(key, claimed);
+        if (existing == null) {
             return new Claim.Granted();
         }
-        if (seen.sealed) {
+        if (existing.sealed) {
             return new Claim.Sealed();
         }
-        if (seen.fingerprint != fingerprint) {
+        if (existing.fingerprint != fingerprint) {
             return new Claim.Reused();
         }
-        return new Claim.Taken(seen::onOutcome);
+        return new Claim.Taken(existing::onOutcome);
     }
 
     /**
@@ -106,11 +106,11 @@
      */
     public Optional<ClaimedKey> lookUpOrSeal(String key, long nowNanos) {
         Entry seal = Entry.seal(nowNanos);
-        Entry seen = entries.putIfAbsent(key, seal);
-        if (seen == null || seen.sealed) {
+        Entry existing = entries.putIfAbsent(key, seal);
+        if (existing == null || existing.sealed) {
             return Optional.empty();
         }
-        return Optional.of(new ClaimedKey(key, seen.fingerprint, seen::onOutcome));
+        return Optional.of(new ClaimedKey(key, existing.fingerprint, existing::onOutcome));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -119,7 +119,7 @@
                     successor.node(),
                     link -> link.ifPresent(l -> {
                         claimed.forEach(k -> k.outcome()
-                                .accept(kept -> l.send(new Message.KeyTransfer(k.key(), k.fingerprint(), kept))));
+                                .accept(outcome -> l.send(new Message.KeyTransfer(k.key(), k.fingerprint(), outcome))));
                         l.send(new Message.KeyTransferEnd(local.id()));
                     }));
         }
@@ -177,26 +177,27 @@
         });
     }
 
-    private void answer(Link link, Message.KeyQuery ask, Optional<LocalUpstream> local) {
-        // An upstream started after the queried one knows none of its keys. If its answer counted as proof, the key
-        // could
-        // run again.
-        if (local.map(l -> !l.id().equals(ask.formerOwner())).orElse(true)) {
-            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Undetermined()));
+    private void answer(Link link, Message.KeyQuery query, Optional<LocalUpstream> local) {
+        // An upstream that started after the queried one knows none of its keys. If its answer counted as proof, the
+        // key
+        // could run again.
+        if (local.map(l -> !l.id().equals(query.formerOwner())).orElse(true)) {
+            link.send(new Message.KeyReply(query.ticket(), new Message.KeyFact.Undetermined()));
             return;
         }
         LocalUpstream l = local.get();
-        Optional<KeyTable.ClaimedKey> claimed = l.keys().lookUpOrSeal(ask.key(), timers.nanos());
+        Optional<KeyTable.ClaimedKey> claimed = l.keys().lookUpOrSeal(query.key(), timers.nanos());
         if (claimed.isEmpty()) {
-            boolean undetermined = ask.vouchForPredecessors() && view.mayHaveRunElsewhere(l, ask.newOwner(), ask.key());
+            boolean undetermined =
+                    query.vouchForPredecessors() && view.mayHaveRunElsewhere(l, query.newOwner(), query.key());
             Message.KeyFact fact = undetermined ? new Message.KeyFact.Undetermined() : new Message.KeyFact.NeverRan();
-            link.send(new Message.KeyReply(ask.ticket(), fact));
+            link.send(new Message.KeyReply(query.ticket(), fact));
             return;
         }
         KeyTable.ClaimedKey k = claimed.get();
         k.outcome()
-                .accept(kept -> link.send(
-                        new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
+                .accept(outcome -> link.send(
+                        new Message.KeyReply(query.ticket(), new Message.KeyFact.Known(k.fingerprint(), outcome))));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -113,25 +113,25 @@
      * Returns whether this node, queried as a former owner, cannot rule out that another node ran a key before.
      *
      * @param local the upstream colocated with this node
-     * @param asker the id of the upstream that owns the key now
+     * @param newOwner the id of the upstream that owns the key now
      * @param key the key
      * @return whether another node may have run the key
      */
-    public boolean mayHaveRunElsewhere(LocalUpstream local, String asker, String key) {
-        boolean fresh = timers.nanos() - local.acceptingSinceNanos() < settings.keyRetentionNanos()
+    public boolean mayHaveRunElsewhere(LocalUpstream local, String newOwner, String key) {
+        boolean mayPredateLocal = timers.nanos() - local.acceptingSinceNanos() < settings.keyRetentionNanos()
                 && !createdAfter(key, local.acceptingSinceNanos());
-        return fresh || otherOwner(local, asker, key) || departedOwner(local.service(), local.id(), key);
+        return mayPredateLocal || otherOwner(local, newOwner, key) || departedOwner(local.service(), local.id(), key);
     }
 
     /**
      * Returns whether a third upstream ranks higher for the key than this node's upstream. A leaving upstream counts
-     * too: the asker may not know of it, and so may not have queried it.
+     * too: the new owner may not know of it, and so may not have queried it.
      */
-    private boolean otherOwner(LocalUpstream local, String asker, String key) {
+    private boolean otherOwner(LocalUpstream local, String newOwner, String key) {
         long ownRank = Rendezvous.hash(local.id(), key);
         return table.present().stream()
                 .filter(r -> r.service().equals(local.service()))
-                .filter(r -> !r.upstreamId().equals(asker) && !r.upstreamId().equals(local.id()))
+                .filter(r -> !r.upstreamId().equals(newOwner) && !r.upstreamId().equals(local.id()))
                 .anyMatch(r -> Rendezvous.hash(r.upstreamId(), key) > ownRank);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
@@ -57,12 +57,12 @@
             startNanos = now;
         }
 
-        synchronized int take(long now, int most) {
+        synchronized int take(long now, int maxLines) {
             if (now - startNanos >= SECOND_NANOS) {
                 startNanos = now;
                 lines = 0;
             }
-            if (lines >= most) {
+            if (lines >= maxLines) {
                 suppressed.incrementAndGet();
                 return -1;
             }
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanCheckTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/RoutePlanCheckTest.java
@@ -14,8 +14,8 @@
         Route bad = new Route(
                 "bad", "h", "files", List.of(new ServiceShare("gone", 0)), RequestKind.DOWNLOAD, 0, 0, 0, 0, false);
         Route good = RoutePlanTest.route("good", "h", "/", "s");
-        Route twin = RoutePlanTest.route("twin", "h", "/", "s");
-        List<String> problems = RoutePlanCheck.problems(plan(bad, good, twin));
+        Route duplicate = RoutePlanTest.route("twin", "h", "/", "s");
+        List<String> problems = RoutePlanCheck.problems(plan(bad, good, duplicate));
         assertEquals(6, problems.size(), problems.toString());
     }
 
