--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RatioBudget.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits the retries from one service to another to a ratio of the successful calls between them, so that retries do
- * not add to the load of a failing service. Thread-safe.
+ * not add to the load of a failing service.
  */
 public final class RatioBudget {
     private static final long UNIT = 1_000L;
--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/RootBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/RootBudget.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /**
- * The retry count of a request, held by the node where the request entered. Thread-safe.
+ * The retry count of a request, held by the node where the request entered.
  */
 public final class RootBudget implements RetryBudget {
     private final AtomicInteger left;
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
@@ -10,7 +10,7 @@
 /**
  * Records the ids of attempts that arrived or were sealed, so that each attempt starts at most once. An id is retained
  * for at least one generation; after that, the limit on the age of a call refuses any copy of it. An unknown id proves
- * that the attempt never arrived only if {@link #coversSince} covers the time at which it was sent. Thread-safe.
+ * that the attempt never arrived only if {@link #coversSince} covers the time at which it was sent.
  */
 public final class SeenCalls {
     private final AtomicReference<Generations> generations;
@@ -41,8 +41,7 @@
         if (g.previous().contains(id) || !g.current().claim(id)) {
             return false;
         }
-        // If a generation began concurrently, it may hold another claim of the id; only one of the two claims wins
-        // there.
+        // A generation that began concurrently may hold another claim of the id; only one of the two claims wins there.
         for (Generations now = generations.get(); now != g; now = generations.get()) {
             if (!now.current().claim(id)) {
                 return false;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/TwoChoicesProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/TwoChoicesProvider.java
@@ -5,7 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Provides the chooser {@code two-choices}: draws two candidates at random and chooses the less loaded one.
+ * Provides the chooser {@code two-choices}, the power of two choices: draws two candidates at random and chooses the
+ * less loaded one.
  */
 public final class TwoChoicesProvider implements ChooserProvider {
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
@@ -14,8 +14,8 @@
  */
 public final class EventLoopPacing {
     /**
-     * Pause between two iterations in nanoseconds. The longest pause that did not degrade service under light load (4
-     * ms cost 1.7 % of the score there), and short compared to target latencies of 100 milliseconds and more.
+     * Pause between two iterations in nanoseconds. The longest pause that did not degrade service under light load
+     * (4 ms cost 1.7 % of the score there), and short compared to target latencies of 100 milliseconds and more.
      */
     public static final long PAUSE_NANOS = 2_000_000L;
 
@@ -25,7 +25,7 @@
      */
     static final long BUSY_NANOS = 2 * PAUSE_NANOS;
 
-    /** Weight of the newest gap in the average: a burst counts after some iterations, one long gap ends it at once. */
+    /** Weight of the newest gap in the average: load counts after some iterations, an idle moment ends it at once. */
     private static final double SMOOTHING = 0.125;
 
     /** Maximum gap that is averaged, in nanoseconds, so that load after a long idle time is detected soon. */
