--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigLogReader.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * Follows the configuration's stream and what other nodes tell of it. A reader that missed entries keeps its version in
- * force and the entries it reads, until a snapshot or another node tells it the state at a place it can go on from.
- * Used by one thread at a time.
+ * Derives the configuration from the entries of its stream and from the state received from other nodes. A reader that
+ * missed entries keeps its version in force and collects the entries it reads, until a snapshot or another node
+ * provides a state from which it can continue. Not thread-safe.
  */
-public final class ConfigReader {
-    private static final int PENDING_MOST = 10_000;
-    private static final int VERSIONS_MOST = 64;
+public final class ConfigLogReader {
+    private static final int MAX_PENDING = 10_000;
+    private static final int MAX_VERSIONS = 64;
 
     private final TreeMap<Long, ConfigEntry> pending = new TreeMap<>();
     private final TreeMap<Long, Configuration> versions = new TreeMap<>();
@@ -20,19 +20,19 @@
     private long nextOffset;
     private long readFrom = -1;
 
-    private ConfigReader() {}
+    private ConfigLogReader() {}
 
     /**
-     * Creates a reader that knows nothing.
+     * Creates a reader without a state.
      *
      * @return the reader
      */
-    public static ConfigReader create() {
-        return new ConfigReader();
+    public static ConfigLogReader create() {
+        return new ConfigLogReader();
     }
 
     /**
-     * Returns the newest state that is known.
+     * Returns the newest known state.
      *
      * @return the state, once there is one
      */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Tells whether every entry up to the last one read was taken into account.
+     * Returns whether every entry up to the last one read has been applied.
      *
      * @return false while entries are missing
      */
@@ -50,17 +50,17 @@
     }
 
     /**
-     * Finds a version seen lately.
+     * Looks up a recent version.
      *
      * @param version the version
-     * @return the configuration, if it was seen
+     * @return the configuration, empty if it is unknown
      */
     public Optional<Configuration> version(long version) {
         return Optional.ofNullable(versions.get(version));
     }
 
     /**
-     * Returns where to read on.
+     * Returns the offset to read from next.
      *
      * @return the next offset
      */
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Takes what was read from the log.
+     * Handles entries read from the log.
      *
-     * @param firstOffset the oldest offset that the log still keeps
-     * @param next where to read on
+     * @param firstOffset the oldest offset that the log still holds
+     * @param next the offset to read from next
      * @param entries the entries by offset
      */
     public void read(long firstOffset, long next, Map<Long, ConfigEntry> entries) {
@@ -89,56 +89,57 @@
             synced = true;
         }
         nextOffset = Math.max(nextOffset, next);
-        new TreeMap<>(entries).forEach(this::take);
+        new TreeMap<>(entries).forEach(this::handleEntry);
     }
 
     /**
-     * Takes the state that another node or a snapshot tells.
+     * Handles a state received from another node or from a snapshot.
      *
-     * @param told the state
+     * @param received the state
      */
-    public void hear(ConfigState told) {
-        boolean newer = state == null || told.version() > state.version();
-        boolean mends = !synced && state != null && told.version() == state.version() && goesOnFrom(told);
-        if (!newer && !mends) {
+    public void receive(ConfigState received) {
+        boolean newer = state == null || received.version() > state.version();
+        boolean closesGap =
+                !synced && state != null && received.version() == state.version() && continuesFrom(received);
+        if (!newer && !closesGap) {
             return;
         }
-        adopt(told);
-        if (nextOffset <= told.offset()) {
-            nextOffset = told.offset() + 1;
+        adopt(received);
+        if (nextOffset <= received.offset()) {
+            nextOffset = received.offset() + 1;
             readFrom = nextOffset;
             pending.clear();
         }
-        synced = goesOnFrom(told);
+        synced = continuesFrom(received);
         if (synced) {
-            pending.tailMap(told.offset() + 1).forEach((offset, entry) -> adopt(state.after(offset, entry)));
+            pending.tailMap(received.offset() + 1).forEach((offset, entry) -> adopt(state.after(offset, entry)));
             pending.clear();
         }
     }
 
-    private boolean goesOnFrom(ConfigState told) {
-        return readFrom <= told.offset() + 1;
+    private boolean continuesFrom(ConfigState received) {
+        return readFrom <= received.offset() + 1;
     }
 
-    private void take(long offset, ConfigEntry entry) {
+    private void handleEntry(long offset, ConfigEntry entry) {
         if (synced) {
             adopt(state.after(offset, entry));
             return;
         }
         pending.put(offset, entry);
-        if (pending.size() > PENDING_MOST) {
+        if (pending.size() > MAX_PENDING) {
             pending.pollFirstEntry();
             readFrom = pending.firstKey();
         }
         if (entry instanceof ConfigEntry.Snapshot s) {
-            hear(s.state());
+            receive(s.state());
         }
     }
 
     private void adopt(ConfigState next) {
         state = next;
         versions.put(next.version(), next.configuration());
-        if (versions.size() > VERSIONS_MOST) {
+        if (versions.size() > MAX_VERSIONS) {
             versions.pollFirstEntry();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
@@ -13,22 +13,22 @@
 import org.verbenadyke.kernel.call.RunState;
 
 /**
- * Notes what was handed over, refused, answered and applied, and checks the promises as it goes. What it notes is kept
- * for at least one generation. Safe for many threads.
+ * Records which calls were handed over, refused and answered and which configurations were applied, and checks the
+ * {@linkplain Invariant invariants} with each event. Events are retained for at least one generation. Thread-safe.
  */
 public final class Ledger {
-    private final boolean on;
+    private final boolean enabled;
     private final Consumer<Breach> listener;
     private final AtomicReference<Generations> generations = new AtomicReference<>(Generations.empty());
     private final AtomicLong version = new AtomicLong(Long.MIN_VALUE);
 
-    private Ledger(boolean on, Consumer<Breach> listener) {
-        this.on = on;
+    private Ledger(boolean enabled, Consumer<Breach> listener) {
+        this.enabled = enabled;
         this.listener = listener;
     }
 
     /**
-     * Creates a ledger that notes nothing.
+     * Creates a ledger that records and checks nothing.
      *
      * @return the ledger
      */
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Creates a ledger.
+     * Creates a ledger that checks the invariants.
      *
-     * @param listener is told of each breach
+     * @param listener called with each breach
      * @return the ledger
      */
     public static Ledger reportingTo(Consumer<Breach> listener) {
@@ -47,214 +47,214 @@
     }
 
     /**
-     * Notes a minted budget.
+     * Records the creation of a retry budget.
      *
      * @param request the request
-     * @param retries its budget
+     * @param retries the number of retries in its budget
      */
-    public void minted(RequestId request, int retries) {
-        if (on) {
-            track(request).note(t -> t.budget = retries, "minted " + retries);
+    public void budgetCreated(RequestId request, int retries) {
+        if (enabled) {
+            historyOf(request).append(h -> h.budget = retries, "budget created: " + retries);
         }
     }
 
     /**
-     * Notes a retry taken out of a budget that was minted here.
+     * Records a retry taken from a budget that was created on this node.
      *
      * @param request the request
      */
     public void spent(RequestId request) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(request);
-        t.note(x -> x.spent++, "spent");
-        if (t.budget >= 0 && t.spent > t.budget) {
-            breach(Promise.RETRIES_BOUNDED, request, t);
+        History history = historyOf(request);
+        history.append(h -> h.spent++, "spent");
+        if (history.budget >= 0 && history.spent > history.budget) {
+            breach(Invariant.RETRIES_BOUNDED, request, history);
         }
     }
 
     /**
-     * Notes an attempt that is being sent.
+     * Records that an attempt is sent.
      *
      * @param request the request
      * @param service the service called
      * @param call the attempt
      */
     public void attempted(RequestId request, String service, CallId call) {
-        if (on) {
-            track(call).note(t -> t.request = request, "sent to " + service);
+        if (enabled) {
+            historyOf(call).append(h -> h.request = request, "sent to " + service);
         }
     }
 
     /**
-     * Notes a whole answer given to the caller of this node.
+     * Records a complete answer to a caller of this node.
      *
-     * @param request the request it was given for
-     * @param call the attempt it came from
+     * @param request the request that was answered
+     * @param call the attempt that the answer came from
      */
     public void answered(RequestId request, CallId call) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.answers++, "answered");
-        if (t.answers > 1 || t.request != null && !t.request.equals(request)) {
-            breach(Promise.ANSWER_MATCHED, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.answers++, "answered");
+        if (history.answers > 1 || history.request != null && !history.request.equals(request)) {
+            breach(Invariant.ANSWER_MATCHED, call, history);
         }
     }
 
     /**
-     * Notes a call handed to the upstream.
+     * Records that a call is handed to the upstream.
      *
      * @param call the call
-     * @param key its key, empty if none
+     * @param key its idempotency key, empty if none
      * @param idempotent whether it may run more than once
      */
     public void handedOver(CallId call, String key, boolean idempotent) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.handed++, "handed over");
-        if (t.handed > 1) {
-            breach(Promise.AT_MOST_ONCE, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.handOvers++, "handed over");
+        if (history.handOvers > 1) {
+            breach(Invariant.AT_MOST_ONCE, call, history);
         }
-        if (t.refusedNotRun) {
-            breach(Promise.NOT_RUN_IS_TRUE, call, t);
+        if (history.refusedNotRun) {
+            breach(Invariant.NOT_RUN_IS_TRUE, call, history);
         }
         if (idempotent || key.isEmpty()) {
             return;
         }
-        Track k = track(new Key(key));
-        k.note(x -> x.handed++, "handed over as " + call);
-        if (k.handed > 1) {
-            breach(Promise.AT_MOST_ONCE, "key " + key, k);
+        History keyHistory = historyOf(new Key(key));
+        keyHistory.append(h -> h.handOvers++, "handed over as " + call);
+        if (keyHistory.handOvers > 1) {
+            breach(Invariant.AT_MOST_ONCE, "key " + key, keyHistory);
         }
     }
 
     /**
-     * Notes that a call noted as handed over never reached the upstream, since no connection could be had.
+     * Records that a call recorded as handed over never reached the upstream, since no connection could be established.
      *
      * @param call the call
      */
     public void neverReached(CallId call) {
-        if (on) {
-            track(call).note(x -> x.handed--, "upstream not reached");
+        if (enabled) {
+            historyOf(call).append(h -> h.handOvers--, "upstream not reached");
         }
     }
 
     /**
-     * Notes that the upstream said it did not run a keyed call, so that the key is free again.
+     * Records that the upstream reported a keyed call as not run, so that its key may be used again.
      *
      * @param key the key
      */
     public void keyFreed(String key) {
-        if (on) {
-            track(new Key(key)).note(x -> x.handed = 0, "not run by the upstream");
+        if (enabled) {
+            historyOf(new Key(key)).append(h -> h.handOvers = 0, "not run by the upstream");
         }
     }
 
     /**
-     * Notes a refusal sent to the node above.
+     * Records a refusal sent to the calling node.
      *
      * @param call the call
-     * @param state what was said
+     * @param state the run state in the refusal
      */
     public void refusedCall(CallId call, RunState state) {
-        if (!on || state != RunState.NOT_RUN) {
+        if (!enabled || state != RunState.NOT_RUN) {
             return;
         }
-        Track t = track(call);
-        t.note(x -> x.refusedNotRun = true, "refused as not run");
-        if (t.handed > 0) {
-            breach(Promise.NOT_RUN_IS_TRUE, call, t);
+        History history = historyOf(call);
+        history.append(h -> h.refusedNotRun = true, "refused as not run");
+        if (history.handOvers > 0) {
+            breach(Invariant.NOT_RUN_IS_TRUE, call, history);
         }
     }
 
     /**
-     * Notes a hand-over of a call that arrived after the upstream had begun to leave.
+     * Records the hand-over of a call that arrived after the upstream had begun to drain.
      *
      * @param call the call
      */
     public void handedWhileDraining(CallId call) {
-        if (on) {
-            breach(Promise.DRAINED_GETS_NOTHING, call, track(call));
+        if (enabled) {
+            breach(Invariant.DRAINED_GETS_NOTHING, call, historyOf(call));
         }
     }
 
     /**
-     * Notes a configuration that came into force.
+     * Records a configuration that came into force.
      *
      * @param newVersion its version
      */
     public void applied(long newVersion) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
         long before = version.getAndUpdate(v -> Math.max(v, newVersion));
         if (newVersion < before) {
-            listener.accept(new Breach(Promise.NEVER_REVERTS, "version " + newVersion, "after version " + before));
+            listener.accept(new Breach(Invariant.NEVER_REVERTS, "version " + newVersion, "after version " + before));
         }
     }
 
-    /** Starts a generation and forgets the one before the last; called by one thread at a time. */
+    /** Starts a generation and discards the one before the last. Must be called by one thread at a time. */
     public void rotate() {
         Generations g = generations.get();
         generations.set(new Generations(g.current, new ConcurrentHashMap<>()));
     }
 
-    private Track track(Object subject) {
+    private History historyOf(Object subject) {
         Generations g = generations.get();
-        Track old = g.previous.get(subject);
-        return old != null ? old : g.current.computeIfAbsent(subject, s -> new Track());
+        History older = g.previous.get(subject);
+        return older != null ? older : g.current.computeIfAbsent(subject, s -> new History());
     }
 
-    private void breach(Promise promise, Object subject, Track track) {
-        listener.accept(new Breach(promise, subject.toString(), track.history()));
+    private void breach(Invariant invariant, Object subject, History history) {
+        listener.accept(new Breach(invariant, subject.toString(), history.text()));
     }
 
     /**
-     * What is kept.
+     * The two generations that are retained.
      *
-     * @param previous the older generation
+     * @param previous the older one
      * @param current the newer one
      */
-    private record Generations(Map<Object, Track> previous, Map<Object, Track> current) {
+    private record Generations(Map<Object, History> previous, Map<Object, History> current) {
         static Generations empty() {
             return new Generations(new ConcurrentHashMap<>(), new ConcurrentHashMap<>());
         }
     }
 
     /**
-     * A key as a subject.
+     * An idempotency key as a subject.
      *
      * @param value the key
      */
     private record Key(String value) {}
 
     /**
-     * What was noted of one subject.
+     * The recorded events of one subject.
      */
-    private static final class Track {
-        private static final int STEPS_MOST = 16;
+    private static final class History {
+        private static final int MAX_STEPS = 16;
 
         private final List<String> steps = new ArrayList<>(2);
         private volatile RequestId request;
         private volatile int budget = -1;
         private volatile int spent;
-        private volatile int handed;
+        private volatile int handOvers;
         private volatile int answers;
         private volatile boolean refusedNotRun;
 
-        synchronized void note(Consumer<Track> change, String step) {
+        synchronized void append(Consumer<History> change, String step) {
             change.accept(this);
-            if (steps.size() < STEPS_MOST) {
+            if (steps.size() < MAX_STEPS) {
                 steps.add(step);
             }
         }
 
-        synchronized String history() {
+        synchronized String text() {
             return String.join(", ", steps);
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/Differences.java
@@ -9,17 +9,17 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 
 /**
- * Words what tells two configurations apart.
+ * Describes the differences between two configurations.
  */
 public final class Differences {
     private Differences() {}
 
     /**
-     * Compares.
+     * Compares two configurations.
      *
-     * @param from the one
-     * @param to the other
-     * @return one line a difference, removed first
+     * @param from the old configuration
+     * @param to the new configuration
+     * @return one line for each difference; what is removed comes first
      */
     public static List<String> between(Configuration from, Configuration to) {
         List<String> lines = new ArrayList<>();
@@ -28,12 +28,12 @@
         }
         for (ImportanceRule rule : from.rules()) {
             if (!to.rules().contains(rule)) {
-                lines.add("- rule " + words(rule));
+                lines.add("- rule " + describe(rule));
             }
         }
         for (ImportanceRule rule : to.rules()) {
             if (!from.rules().contains(rule)) {
-                lines.add("+ rule " + words(rule));
+                lines.add("+ rule " + describe(rule));
             }
         }
         for (String node : new TreeSet<>(from.leaving())) {
@@ -50,12 +50,12 @@
     }
 
     /**
-     * Words a rule.
+     * Formats a rule.
      *
      * @param rule the rule
      * @return service, method, path and importance
      */
-    public static String words(ImportanceRule rule) {
+    public static String describe(ImportanceRule rule) {
         return rule.service() + " " + rule.method() + " " + rule.pathPrefix() + " "
                 + rule.importance().name().toLowerCase(Locale.ROOT);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
@@ -7,67 +7,67 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Bounds how many lines of each kind go out a second, and counts those left out. Safe for many threads.
+ * Limits the number of log lines of each kind per second, and counts the lines it suppresses. Thread-safe.
  *
- * <p>Load pattern: under overload some hundred requests a second are refused on a node for the same reason; the first
- * lines of a second tell what the others would, and writing all of them would cost what is short.
+ * <p>Load pattern: under overload a node refuses some hundred requests a second for the same reason. The first lines of
+ * a second say as much as the others would, and writing all of them would take up the processor time that is short.
  */
 public final class LineRateLimiter {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final TimerService timers;
-    private final int linesMost;
-    private final Map<String, Second> seconds = new ConcurrentHashMap<>();
+    private final int maxLines;
+    private final Map<String, Window> windows = new ConcurrentHashMap<>();
 
-    private LineRateLimiter(TimerService timers, int linesMost) {
+    private LineRateLimiter(TimerService timers, int maxLines) {
         this.timers = timers;
-        this.linesMost = linesMost;
+        this.maxLines = maxLines;
     }
 
     /**
-     * Creates a budget.
+     * Creates a rate limiter.
      *
-     * @param timers the time
-     * @param linesMost lines of each kind in a second
-     * @return the budget
+     * @param timers the clock
+     * @param maxLines the maximum number of lines of each kind per second
+     * @return the rate limiter
      */
-    public static LineRateLimiter of(TimerService timers, int linesMost) {
-        return new LineRateLimiter(timers, linesMost);
+    public static LineRateLimiter of(TimerService timers, int maxLines) {
+        return new LineRateLimiter(timers, maxLines);
     }
 
     /**
-     * Asks for a line.
+     * Requests to write a line.
      *
-     * @param kind the line's kind
-     * @return how many lines of the kind were left out before it, or -1 when it is to be left out too
+     * @param kind the kind of the line
+     * @return how many lines of the kind were suppressed before this one, or -1 if this line must be suppressed too
      */
     public int take(String kind) {
         long now = timers.nanos();
-        Second second = seconds.computeIfAbsent(kind, k -> new Second(now));
-        return second.take(now, linesMost);
+        Window window = windows.computeIfAbsent(kind, k -> new Window(now));
+        return window.take(now, maxLines);
     }
 
-    /** The lines of one kind in the current second. */
-    private static final class Second {
-        private final AtomicInteger left = new AtomicInteger();
-        private long begun;
+    /** Counts the lines of one kind in the current second. */
+    private static final class Window {
+        private final AtomicInteger suppressed = new AtomicInteger();
+        private long startNanos;
         private int lines;
 
-        private Second(long now) {
-            begun = now;
+        private Window(long now) {
+            startNanos = now;
         }
 
-        synchronized int take(long now, int most) {
-            if (now - begun >= SECOND_NANOS) {
-                begun = now;
+        synchronized int take(long now, int maxLines) {
+            if (now - startNanos >= SECOND_NANOS) {
+                startNanos = now;
                 lines = 0;
             }
-            if (lines >= most) {
-                left.incrementAndGet();
+            if (lines >= maxLines) {
+                suppressed.incrementAndGet();
                 return -1;
             }
             lines++;
-            return left.getAndSet(0);
+            return suppressed.getAndSet(0);
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialExecutorTest.java
@@ -10,11 +10,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /** Tests {@link SerialExecutor}. */
-public class SerialTest {
+public class SerialExecutorTest {
     private final SerialExecutor serial = SerialExecutor.create();
     private int plain;
 
-    /** Adds through the runner; two adds at once would lose one. */
+    /** Increments through the executor; two concurrent increments would lose one. */
     @Operation
     public void add() {
         serial.run(() -> plain = plain + 1);
@@ -38,6 +38,6 @@
                 .invocationsPerIteration(1000)
                 .threads(3)
                 .actorsPerThread(2)
-                .check(SerialTest.class);
+                .check(SerialExecutorTest.class);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/TurnPacingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/EventLoopPacingTest.java
@@ -8,16 +8,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests {@link EventLoopPacing}. */
-final class TurnPacingTest {
+final class EventLoopPacingTest {
     private static final long MILLI = 1_000_000L;
 
-    /** What a wake-up costs beside its events, and what each event costs, in nanoseconds: measured, rounded. */
-    private static final long WAKE_UP = 60_000L;
+    /** Processor time of a wake-up without its events, in nanoseconds; rounded from measurements. */
+    private static final long WAKE_UP_NANOS = 60_000L;
 
-    private static final long EVENT = 15_000L;
+    /** Processor time of each event, in nanoseconds; rounded from measurements. */
+    private static final long EVENT_NANOS = 15_000L;
 
     @Test
-    void neverRestsWhenTurnsAreFarApart() {
+    void neverPausesWhenIterationsAreFarApart() {
         EventLoopPacing pacing = EventLoopPacing.quiet();
         for (long t = 0; t < 100; t++) {
             assertEquals(0, pacing.iterationEnded(t * 10 * MILLI));
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void twoEventsInARowDontMakeALoopBusy() {
+    void pairsOfCloseEventsDoNotMakeALoopBusy() {
         EventLoopPacing pacing = EventLoopPacing.quiet();
         for (long t = 0; t < 100; t++) {
             assertEquals(0, pacing.iterationEnded(t * 10 * MILLI));
@@ -34,30 +35,30 @@
     }
 
     @Test
-    void restsUnderLoadAndStopsWhenItIsOver() {
+    void pausesUnderLoadAndStopsWhenItIsOver() {
         EventLoopPacing pacing = EventLoopPacing.quiet();
         long now = 0;
         for (int i = 0; i < 20; i++) {
             now += MILLI / 2;
             pacing.iterationEnded(now);
         }
-        assertEquals(EventLoopPacing.REST_NANOS, pacing.iterationEnded(now + MILLI / 2));
+        assertEquals(EventLoopPacing.PAUSE_NANOS, pacing.iterationEnded(now + MILLI / 2));
         now += 20 * MILLI;
         pacing.iterationEnded(now);
         assertEquals(0, pacing.iterationEnded(now + 20 * MILLI));
     }
 
-    /** Replays a node's events under a heavy load: some thousand a second, at random moments. */
+    /** Simulates a node under heavy load: some thousand events a second, at random times. */
     @Test
-    void halvesWhatABusyNodeCosts() {
+    void halvesTheProcessorTimeOfABusyNode() {
         Replay without = replay(3_000, false);
         Replay with = replay(3_000, true);
         assertTrue(with.busyNanos() < without.busyNanos() / 2, with + " against " + without);
-        assertTrue(with.longestWaitNanos() < 3 * EventLoopPacing.REST_NANOS, with.toString());
+        assertTrue(with.longestWaitNanos() < 3 * EventLoopPacing.PAUSE_NANOS, with.toString());
     }
 
     @Test
-    void leavesAQuietNodesEventsAlone() {
+    void doesNotDelayEventsOfAnIdleNode() {
         assertEquals(replay(50, false), replay(50, true));
     }
 
@@ -71,13 +72,13 @@
         long longest = 0;
         while (now < 5_000 * MILLI) {
             now = Math.max(now, next);
-            now += WAKE_UP;
-            busy += WAKE_UP;
+            now += WAKE_UP_NANOS;
+            busy += WAKE_UP_NANOS;
             while (next <= now) {
                 longest = Math.max(longest, now - next);
                 next += (long) (-Math.log(1 - random.nextDouble()) * meanGap);
-                now += EVENT;
-                busy += EVENT;
+                now += EVENT_NANOS;
+                busy += EVENT_NANOS;
             }
             now += paced ? pacing.iterationEnded(now) : 0;
         }
@@ -85,7 +86,7 @@
     }
 
     /**
-     * What a replay came to.
+     * The result of a simulation.
      *
      * @param busyNanos the processor time
      * @param longestWaitNanos the longest time from an event to its handling
