--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -21,8 +21,8 @@
 import org.verbenadyke.kernel.owner.OwnerView;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.quarantine.QuarantineSettings;
-import org.verbenadyke.kernel.quota.LinkCourier;
-import org.verbenadyke.kernel.quota.MemberDealers;
+import org.verbenadyke.kernel.quota.LinkSender;
+import org.verbenadyke.kernel.quota.RendezvousAllocatorDirectory;
 import org.verbenadyke.kernel.quota.TeamLimiter;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Upstream;
@@ -287,9 +287,9 @@
                 parts.self().nodeId(),
                 parts.timers(),
                 parts.random(),
-                MemberDealers.of(parts.timers(), this::self, table),
+                RendezvousAllocatorDirectory.of(parts.timers(), this::self, table),
                 parts.plans()::team,
-                LinkCourier.over(engine.links()));
+                LinkSender.over(engine.links()));
     }
 
     private Optional<LocalUpstream> upstream() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/Demand.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/Demand.java
@@ -1,11 +1,11 @@
 package org.verbenadyke.kernel.quota;
 
 /**
- * What a node asks the dealer of a team's permits for.
+ * What a node requests from the allocator of a team's permits.
  *
- * @param held permits that it holds and may still use
- * @param returned permits that it gives back unused
- * @param needed permits for requests that wait
- * @param wanted permits that it would like, those needed among them
+ * @param leased permits that the node still has on lease
+ * @param returned permits that the node returns unused
+ * @param needed permits for waiting requests
+ * @param wanted all permits that the node would like, including those needed
  */
-record Demand(int held, int returned, int needed, int wanted) {}
+record Demand(int leased, int returned, int needed, int wanted) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/LinkCourier.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/LinkSender.java
@@ -5,23 +5,23 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Brings questions to other nodes over the links to them.
+ * Sends messages to other nodes over the links to them.
  */
-public final class LinkCourier implements TeamLimiter.Courier {
+public final class LinkSender implements TeamLimiter.MessageSender {
     private final Links links;
 
-    private LinkCourier(Links links) {
+    private LinkSender(Links links) {
         this.links = links;
     }
 
     /**
-     * Creates a courier.
+     * Creates a sender.
      *
-     * @param links where links come from
-     * @return the courier
+     * @param links provides the links
+     * @return the sender
      */
-    public static LinkCourier over(Links links) {
-        return new LinkCourier(links);
+    public static LinkSender over(Links links) {
+        return new LinkSender(links);
     }
 
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/QuotaSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/QuotaSettings.java
@@ -1,14 +1,15 @@
 package org.verbenadyke.kernel.quota;
 
 /**
- * How permits are dealt and kept.
+ * How permits are leased, requested and waited for.
  *
- * @param leaseNanos how long permits that were dealt may be used, in nanoseconds
- * @param marginNanos how much longer the dealer counts them as held, in nanoseconds: messages on their way
- * @param horizonNanos for how long a node asks for permits ahead, in nanoseconds
- * @param patienceNanos how long a request waits for the dealer's answer, in nanoseconds
- * @param holdNanos how long a request waits for a permit that falls due, in nanoseconds
- * @param blockMostNanos how long at the most a node refuses a team by itself after the dealer had nothing, in
+ * @param leaseNanos how long leased permits may be used, in nanoseconds
+ * @param marginNanos how much longer the allocator counts the permits as leased, in nanoseconds: covers messages in
+ *     transit
+ * @param horizonNanos how far ahead a node requests permits for its expected use, in nanoseconds
+ * @param allocatorTimeoutNanos how long a request waits for the allocator's answer, in nanoseconds
+ * @param maxWaitNanos how long a request waits for a permit that is about to become free, in nanoseconds
+ * @param maxBlockNanos the longest that a node refuses a team without a query after the allocator granted nothing, in
  *     nanoseconds
  * @param tolerance by how much a limit may be exceeded
  */
@@ -16,14 +17,14 @@
         long leaseNanos,
         long marginNanos,
         long horizonNanos,
-        long patienceNanos,
-        long holdNanos,
-        long blockMostNanos,
+        long allocatorTimeoutNanos,
+        long maxWaitNanos,
+        long maxBlockNanos,
         QuotaTolerance tolerance) {
     private static final long MILLI = 1_000_000L;
 
     /**
-     * Returns the settings in use.
+     * Returns the default settings.
      *
      * @param tolerance by how much a limit may be exceeded
      * @return the settings
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/MemberDealers.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/RendezvousAllocatorDirectory.java
@@ -13,53 +13,55 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Names the dealers by rendezvous hashing over the members that are alive. Safe for many threads.
+ * Finds the allocators by rendezvous hashing over the live members. Thread-safe.
  */
-public final class MemberDealers implements Dealers {
-    /** How long a node that was lost may still run behind a cut and deal its part there, in nanoseconds. */
+public final class RendezvousAllocatorDirectory implements AllocatorDirectory {
+    /** How long a lost node may still run behind a network partition and allocate its share, in nanoseconds. */
     private static final long LOST_NANOS = 30_000_000_000L;
 
-    /** How long after its start a node doubts that it knows all members, in nanoseconds. */
-    private static final long YOUNG_NANOS = 3_000_000_000L;
+    /** How long after its start a node may not know all members yet, in nanoseconds. */
+    private static final long STARTUP_NANOS = 3_000_000_000L;
 
-    /** How long a young node must have heard of no other member, in nanoseconds: some rounds of gossip. */
+    /** How long a starting node must have learned of no other member, in nanoseconds: some rounds of gossip. */
     private static final long QUIET_NANOS = 400_000_000L;
 
     private final TimerService timers;
     private final Supplier<MemberRecord> self;
     private final MemberTable table;
     private final long startNanos;
-    private volatile View view;
+    private volatile Snapshot snapshot;
 
-    private MemberDealers(TimerService timers, Supplier<MemberRecord> self, MemberTable table) {
+    private RendezvousAllocatorDirectory(TimerService timers, Supplier<MemberRecord> self, MemberTable table) {
         this.timers = timers;
         this.self = self;
         this.table = table;
         this.startNanos = timers.nanos();
-        this.view = new View(0, List.of(), startNanos, new ConcurrentHashMap<>());
+        this.snapshot = new Snapshot(0, List.of(), startNanos, new ConcurrentHashMap<>());
     }
 
     /**
-     * Creates the dealers as one node sees them.
+     * Creates a node's view of the allocators.
      *
-     * @param timers the time
+     * @param timers the clock
      * @param self the node's record
-     * @param table the members that it knows
-     * @return the dealers
+     * @param table the members that the node knows
+     * @return the directory
      */
-    public static MemberDealers of(TimerService timers, Supplier<MemberRecord> self, MemberTable table) {
-        return new MemberDealers(timers, self, table);
+    public static RendezvousAllocatorDirectory of(TimerService timers, Supplier<MemberRecord> self, MemberTable table) {
+        return new RendezvousAllocatorDirectory(timers, self, table);
     }
 
     @Override
-    public Optional<MemberRecord> dealer(String team) {
-        View v = current();
-        return v.byTeam().computeIfAbsent(team, t -> highest(v.alive(), t));
+    public Optional<MemberRecord> allocator(String team) {
+        Snapshot s = current();
+        return s.byTeam().computeIfAbsent(team, t -> highest(s.alive(), t));
     }
 
     @Override
-    public boolean here(String team) {
-        return dealer(team).filter(d -> d.nodeId().equals(self.get().nodeId())).isPresent();
+    public boolean isLocal(String team) {
+        return allocator(team)
+                .filter(d -> d.nodeId().equals(self.get().nodeId()))
+                .isPresent();
     }
 
     @Override
@@ -71,8 +73,8 @@
     @Override
     public boolean settled() {
         long now = timers.nanos();
-        boolean young = now - startNanos < YOUNG_NANOS;
-        return !young || now - current().sinceNanos() >= QUIET_NANOS;
+        boolean starting = now - startNanos < STARTUP_NANOS;
+        return !starting || now - current().sinceNanos() >= QUIET_NANOS;
     }
 
     @Override
@@ -85,8 +87,8 @@
         return current().sinceNanos();
     }
 
-    private View current() {
-        View known = view;
+    private Snapshot current() {
+        Snapshot known = snapshot;
         long digest = table.digest();
         if (known.digest() == digest) {
             return known;
@@ -95,12 +97,12 @@
                 .filter(r -> r.state() == MemberState.ALIVE)
                 .toList();
         boolean same = ids(alive).equals(ids(known.alive()));
-        View next = new View(
+        Snapshot next = new Snapshot(
                 digest,
                 alive,
                 same ? known.sinceNanos() : timers.nanos(),
                 same ? known.byTeam() : new ConcurrentHashMap<>());
-        view = next;
+        snapshot = next;
         return next;
     }
 
@@ -110,25 +112,25 @@
 
     private static Optional<MemberRecord> highest(List<MemberRecord> members, String team) {
         MemberRecord best = null;
-        long most = Long.MIN_VALUE;
+        long highestHash = Long.MIN_VALUE;
         for (MemberRecord r : members) {
             long hash = Rendezvous.hash(r.nodeId(), team);
-            if (best == null || hash > most) {
+            if (best == null || hash > highestHash) {
                 best = r;
-                most = hash;
+                highestHash = hash;
             }
         }
         return Optional.ofNullable(best);
     }
 
     /**
-     * The members alive, as of one state of the table.
+     * The live members, as of one state of the table.
      *
      * @param digest the table's hash
-     * @param alive the members alive
-     * @param sinceNanos since when it has been these
-     * @param byTeam the dealers found so far
+     * @param alive the live members
+     * @param sinceNanos since when the same members have been alive, in nanoseconds
+     * @param byTeam the allocators found so far
      */
-    private record View(
+    private record Snapshot(
             long digest, List<MemberRecord> alive, long sinceNanos, Map<String, Optional<MemberRecord>> byTeam) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -21,42 +21,42 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Holds each team to its limit over all nodes. One node deals a team's permits, see {@link Account}; every node asks it
- * for as many as it is about to use, and admits requests as long as it has some. Safe for many threads.
+ * Holds each team to its limit over all nodes. One node allocates a team's permits, see {@link PermitBucket}; every
+ * node leases from it as many as that node is about to use, and admits requests as long as it has some. Thread-safe.
  *
  * <p>Load pattern: a few large teams whose requests enter everywhere, and many small ones whose callers each stay with
- * a node or two. Equal shares would refuse the small ones far below their limits.
+ * a node or two. Equal shares of each limit on all nodes would refuse the small teams far below their limits.
  */
 public final class TeamLimiter {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** How often permits that lapsed are given back, in nanoseconds. */
+    /** How often expired permits are returned, in nanoseconds. */
     private static final long SWEEP_NANOS = 500 * NANOS_PER_MILLI;
 
-    /** How soon a dealer is asked again that does not deal yet, in nanoseconds. */
-    private static final long AGAIN_NANOS = 50 * NANOS_PER_MILLI;
+    /** After how long permits are requested again from an allocator that does not allocate yet, in nanoseconds. */
+    private static final long RETRY_NANOS = 50 * NANOS_PER_MILLI;
 
-    /** The least time after which a caller may come back that no dealer answers for, in milliseconds. */
+    /** The minimum Retry-After delay when no allocator answered, in milliseconds. */
     private static final long UNCERTAIN_RETRY_MILLIS = 300;
 
     private final Parts parts;
     private final QuotaSettings settings;
-    private final Map<String, Permits> permits = new ConcurrentHashMap<>();
-    private final PermitDealer dealer;
+    private final Map<String, LeasedPermits> permits = new ConcurrentHashMap<>();
+    private final PermitAllocator allocator;
     private final AtomicLong tickets = new AtomicLong();
     private final AtomicBoolean sweeping = new AtomicBoolean();
 
     private TeamLimiter(Parts parts, QuotaSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.dealer = PermitDealer.create(parts.timers(), parts.dealers(), parts.teams(), settings);
+        this.allocator = PermitAllocator.create(parts.timers(), parts.directory(), parts.teams(), settings);
     }
 
     /**
      * Creates the limiter of a node.
      *
-     * @param parts what it works with
-     * @param settings how permits are dealt and kept
+     * @param parts the components that the limiter uses
+     * @param settings how permits are leased, requested and waited for
      * @return the limiter
      */
     public static TeamLimiter create(Parts parts, QuotaSettings settings) {
@@ -64,159 +64,163 @@
     }
 
     /**
-     * Takes a request of a team.
+     * Admits or refuses a request of a team.
      *
      * @param team the team
-     * @param taker is told, now or soon, whether the request may go on
+     * @param callback called, now or soon, with the decision
      */
-    public void admit(Team team, Taker taker) {
+    public void admit(Team team, Taker callback) {
         if (team.limit().isEmpty()) {
-            taker.admitted();
+            callback.admitted();
             return;
         }
         startSweeping();
         long now = parts.timers().nanos();
-        Permits p = permits.computeIfAbsent(team.name(), t -> new Permits(settings, now));
+        LeasedPermits p = permits.computeIfAbsent(team.name(), t -> new LeasedPermits(settings, now));
         boolean admitted;
         long blockedNanos;
         synchronized (p) {
             admitted = p.take(now);
-            blockedNanos = admitted ? 0 : Math.max(0, p.blockedFor(now));
+            blockedNanos = admitted ? 0 : Math.max(0, p.blockedForNanos(now));
             if (!admitted && blockedNanos == 0) {
-                p.await(taker, now);
+                p.enqueue(callback, now);
             }
         }
         if (admitted) {
-            taker.admitted();
+            callback.admitted();
         } else if (blockedNanos > 0) {
-            taker.refused(limited(blockedNanos / NANOS_PER_MILLI));
+            callback.refused(rateLimited(blockedNanos / NANOS_PER_MILLI));
         }
-        ask(team.name(), p);
+        requestPermits(team.name(), p);
     }
 
     /**
-     * Takes a permit back whose request never ran.
+     * Returns the permit of a request that never ran.
      *
      * @param team the request's team
      */
     public void giveBack(Team team) {
-        Permits p = permits.get(team.name());
+        LeasedPermits p = permits.get(team.name());
         if (p == null || team.limit().isEmpty()) {
             return;
         }
         List<Taker> admitted;
         synchronized (p) {
-            p.giveBack(parts.timers().nanos());
-            admitted = p.admitted();
+            p.returnPermit(parts.timers().nanos());
+            admitted = p.admitWaiting();
         }
         admitted.forEach(Taker::admitted);
     }
 
     /**
-     * Takes a message of another node.
+     * Handles a message of another node.
      *
-     * @param link the link it came by
-     * @param message a question for permits, or the answer to one
+     * @param link the link by which the message arrived
+     * @param message a request for permits, or the answer to one
      */
     public void received(Link link, Message message) {
         switch (message) {
             case Message.QuotaAsk m -> {
                 Demand demand = new Demand(m.held(), m.returned(), m.needed(), m.wanted());
-                Optional<Deal> deal = dealer.deal(m.node(), m.team(), demand);
+                Optional<Allocation> allocation = allocator.allocate(m.node(), m.team(), demand);
                 link.send(new Message.QuotaTold(
                         m.ticket(),
                         m.team(),
-                        deal.isPresent(),
-                        deal.map(Deal::granted).orElse(0),
-                        deal.map(Deal::afterMillis).orElse(0L)));
+                        allocation.isPresent(),
+                        allocation.map(Allocation::granted).orElse(0),
+                        allocation.map(Allocation::nextPermitMillis).orElse(0L)));
             }
             case Message.QuotaTold m ->
-                told(
+                onAllocation(
                         m.team(),
                         m.ticket(),
-                        m.dealt() ? Optional.of(new Deal(m.granted(), m.afterMillis())) : Optional.empty());
-            default -> throw new IllegalArgumentException("no message about permits: " + message);
+                        m.dealt() ? Optional.of(new Allocation(m.granted(), m.afterMillis())) : Optional.empty());
+            default -> throw new IllegalArgumentException("not a message about permits: " + message);
         }
     }
 
-    /** Takes notice that members came or went. */
+    /** Called when members joined or left. */
     public void membersChanged() {
-        dealer.membersChanged();
+        allocator.membersChanged();
     }
 
-    private void ask(String team, Permits p) {
+    private void requestPermits(String team, LeasedPermits p) {
         long now = parts.timers().nanos();
         long ticket = tickets.incrementAndGet();
         Demand demand;
         synchronized (p) {
-            if (!p.low(now) && !p.owes(now)) {
+            if (!p.needsRefill(now) && !p.hasPermitsToReturn(now)) {
                 return;
             }
-            demand = p.ask(ticket, now);
+            demand = p.request(ticket, now);
         }
-        if (parts.dealers().here(team)) {
-            told(team, ticket, dealer.deal(parts.self(), team, demand));
+        if (parts.directory().isLocal(team)) {
+            onAllocation(team, ticket, allocator.allocate(parts.self(), team, demand));
             return;
         }
-        Subscription patience = parts.timers().after(settings.patienceNanos(), () -> silent(team, ticket));
+        Subscription timeout = parts.timers().after(settings.allocatorTimeoutNanos(), () -> onTimeout(team, ticket));
         synchronized (p) {
-            p.answerExpected(patience);
+            p.setTimeout(timeout);
         }
-        Optional<MemberRecord> node = parts.dealers().dealer(team);
+        Optional<MemberRecord> node = parts.directory().allocator(team);
         if (node.isEmpty()) {
-            told(team, ticket, Optional.empty());
+            onAllocation(team, ticket, Optional.empty());
             return;
         }
-        Message.QuotaAsk question = new Message.QuotaAsk(
-                ticket, parts.self(), team, demand.held(), demand.returned(), demand.needed(), demand.wanted());
-        parts.courier().send(node.get(), question, () -> told(team, ticket, Optional.empty()));
+        Message.QuotaAsk request = new Message.QuotaAsk(
+                ticket, parts.self(), team, demand.leased(), demand.returned(), demand.needed(), demand.wanted());
+        parts.sender().send(node.get(), request, () -> onAllocation(team, ticket, Optional.empty()));
     }
 
-    /** Takes the answer to a question; empty if the node that was asked does not deal the team's permits now. */
-    private void told(String team, long ticket, Optional<Deal> deal) {
-        Permits p = permits.get(team);
+    /** Handles the answer to a request; empty if the node that was asked does not allocate the team's permits now. */
+    private void onAllocation(String team, long ticket, Optional<Allocation> allocation) {
+        LeasedPermits p = permits.get(team);
         if (p == null) {
             return;
         }
         long now = parts.timers().nanos();
         List<Taker> admitted;
         List<Taker> refused = List.of();
-        boolean waits;
-        long afterMillis = deal.map(Deal::afterMillis).orElse(AGAIN_NANOS / NANOS_PER_MILLI);
+        boolean waiting;
+        long nextPermitMillis = allocation.map(Allocation::nextPermitMillis).orElse(RETRY_NANOS / NANOS_PER_MILLI);
         synchronized (p) {
-            if (!p.awaits(ticket)) {
+            if (!p.isPending(ticket)) {
                 return;
             }
-            p.answered();
-            p.add(deal.map(Deal::granted).orElse(0), now);
-            admitted = p.admitted();
-            boolean soon = afterMillis * NANOS_PER_MILLI <= settings.holdNanos() || deal.isEmpty();
-            if (p.waits() && (!soon || p.waitedNanos(now) > settings.patienceNanos())) {
-                refused = p.giveUp();
-                p.block(deal.isEmpty() ? 0 : Math.min(settings.blockMostNanos(), afterMillis * NANOS_PER_MILLI), now);
+            p.clearPending();
+            p.add(allocation.map(Allocation::granted).orElse(0), now);
+            admitted = p.admitWaiting();
+            boolean soon = nextPermitMillis * NANOS_PER_MILLI <= settings.maxWaitNanos() || allocation.isEmpty();
+            if (p.hasWaiting() && (!soon || p.waitedNanos(now) > settings.allocatorTimeoutNanos())) {
+                refused = p.removeWaiting();
+                p.block(
+                        allocation.isEmpty()
+                                ? 0
+                                : Math.min(settings.maxBlockNanos(), nextPermitMillis * NANOS_PER_MILLI),
+                        now);
             }
-            waits = p.waits();
+            waiting = p.hasWaiting();
         }
         admitted.forEach(Taker::admitted);
-        Refusal refusal = deal.isPresent() ? limited(afterMillis) : uncertain();
+        Refusal refusal = allocation.isPresent() ? rateLimited(nextPermitMillis) : uncertain();
         refused.forEach(t -> t.refused(refusal));
-        if (waits) {
-            parts.timers().after(afterMillis * NANOS_PER_MILLI, () -> ask(team, p));
+        if (waiting) {
+            parts.timers().after(nextPermitMillis * NANOS_PER_MILLI, () -> requestPermits(team, p));
         }
     }
 
-    private void silent(String team, long ticket) {
-        Permits p = permits.get(team);
+    private void onTimeout(String team, long ticket) {
+        LeasedPermits p = permits.get(team);
         if (p == null) {
             return;
         }
         List<Taker> refused;
         synchronized (p) {
-            if (!p.awaits(ticket)) {
+            if (!p.isPending(ticket)) {
                 return;
             }
-            p.answered();
-            refused = p.giveUp();
+            p.clearPending();
+            refused = p.removeWaiting();
         }
         refused.forEach(t -> t.refused(uncertain()));
     }
@@ -230,23 +234,23 @@
     private void sweep() {
         long now = parts.timers().nanos();
         permits.forEach((team, p) -> {
-            boolean owes;
+            boolean returns;
             synchronized (p) {
-                owes = p.owes(now);
+                returns = p.hasPermitsToReturn(now);
                 if (p.idle(now)) {
                     permits.remove(team, p);
                 }
             }
-            if (owes) {
-                ask(team, p);
+            if (returns) {
+                requestPermits(team, p);
             }
         });
     }
 
-    private Refusal limited(long afterMillis) {
+    private Refusal rateLimited(long retryAfterMillis) {
         return Refusal.notRun(
                 RefusalReason.RATE_LIMITED,
-                RetryAfter.spread(Math.max(1, afterMillis), parts.random().get()));
+                RetryAfter.spread(Math.max(1, retryAfterMillis), parts.random().get()));
     }
 
     private Refusal uncertain() {
@@ -256,50 +260,50 @@
     }
 
     /**
-     * A request that asks for a permit.
+     * Receives the decision on a request.
      */
     public interface Taker {
-        /** The request may go on. */
+        /** Called when the request is admitted. */
         void admitted();
 
         /**
-         * The request is refused.
+         * Called when the request is refused.
          *
-         * @param refusal why, and when its caller may come back
+         * @param refusal the reason, and when the caller may retry
          */
         void refused(Refusal refusal);
     }
 
     /**
-     * Brings questions to other nodes.
+     * Sends messages to other nodes.
      */
     @FunctionalInterface
-    public interface Courier {
+    public interface MessageSender {
         /**
          * Sends a message.
          *
          * @param node the node
          * @param message the message
-         * @param unreachable is run when it can't be sent
+         * @param unreachable run when the message can't be sent
          */
         void send(MemberRecord node, Message message, Runnable unreachable);
     }
 
     /**
-     * What a limiter works with.
+     * The components that a limiter uses.
      *
      * @param self the node's name
-     * @param timers the time
-     * @param random where randomness comes from
-     * @param dealers which node deals the permits of each team
+     * @param timers the clock and timers
+     * @param random the source of randomness
+     * @param directory tells which node allocates the permits of each team
      * @param teams finds a team of the plan in force by its name
-     * @param courier brings questions to other nodes
+     * @param sender sends messages to other nodes
      */
     public record Parts(
             String self,
             TimerService timers,
             Supplier<RandomGenerator> random,
-            Dealers dealers,
+            AllocatorDirectory directory,
             Function<String, Optional<Team>> teams,
-            Courier courier) {}
+            MessageSender sender) {}
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -20,16 +20,16 @@
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 /**
- * Limiters of many nodes on a virtual clock, with messages that take time, cuts, kills and restarts. Members are known
- * to have failed some time after they did.
+ * Limiters of many nodes on a virtual clock, with message delays, network partitions, kills and restarts. A node learns
+ * of a member's failure only some time after the failure.
  */
 final class QuotaFleet {
     static final long MILLI = 1_000_000L;
     static final long SECOND = 1_000 * MILLI;
 
     private static final long HOP_NANOS = 3 * MILLI;
-    private static final long DETECTED_NANOS = 1_000 * MILLI;
-    private static final long GIVEN_UP_NANOS = 3_000 * MILLI;
+    private static final long SUSPECTED_NANOS = 1_000 * MILLI;
+    private static final long DECLARED_DEAD_NANOS = 3_000 * MILLI;
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final SplittableRandom random;
@@ -59,8 +59,8 @@
         return nodes.size();
     }
 
-    /** Lists a team, or changes its limit, on all nodes at once. */
-    void list(Team team) {
+    /** Adds a team, or changes its limit, on all nodes at once. */
+    void putTeam(Team team) {
         teams.put(team.name(), team);
     }
 
@@ -72,23 +72,27 @@
         return nodes.get(node).running;
     }
 
-    /** Returns the node that deals a team's permits as another sees it. */
-    int dealer(int seenBy, String team) {
-        return Integer.parseInt(
-                nodes.get(seenBy).dealers.dealer(team).orElseThrow().nodeId().substring(1));
+    /** Returns the node that allocates a team's permits, as another node sees it. */
+    int allocator(int seenBy, String team) {
+        return Integer.parseInt(nodes.get(seenBy)
+                .directory
+                .allocator(team)
+                .orElseThrow()
+                .nodeId()
+                .substring(1));
     }
 
-    void admit(int node, String team, TeamLimiter.Taker taker) {
-        nodes.get(node).limiter.admit(teams.get(team), taker);
+    void admit(int node, String team, TeamLimiter.Taker callback) {
+        nodes.get(node).limiter.admit(teams.get(team), callback);
     }
 
-    void giveBack(int node, String team) {
+    void returnPermit(int node, String team) {
         nodes.get(node).limiter.giveBack(teams.get(team));
     }
 
     void kill(int node) {
         nodes.get(node).running = false;
-        noticed(node);
+        scheduleDetection(node);
     }
 
     void restart(int node) {
@@ -104,16 +108,16 @@
         }));
     }
 
-    /** Moves a node to a side of a cut. */
-    void cut(int node, int group) {
+    /** Moves a node to one side of a network partition. */
+    void partition(int node, int group) {
         nodes.get(node).group = group;
-        noticed(node);
+        scheduleDetection(node);
     }
 
-    /** Ends all cuts; nodes learn of each other anew. */
+    /** Ends all partitions; nodes learn of each other again. */
     void heal() {
         nodes.forEach(n -> n.group = 0);
-        clock.after(DETECTED_NANOS, () -> {
+        clock.after(SUSPECTED_NANOS, () -> {
             nodes.forEach(n -> n.version++);
             nodes.forEach(a -> nodes.forEach(b -> {
                 if (a.running && b.running) {
@@ -123,14 +127,14 @@
         });
     }
 
-    private void noticed(int node) {
+    private void scheduleDetection(int node) {
         for (Node other : nodes) {
-            clock.after(DETECTED_NANOS, () -> doubt(other, nodes.get(node), MemberState.SUSPECT));
-            clock.after(GIVEN_UP_NANOS, () -> doubt(other, nodes.get(node), MemberState.DEAD));
+            clock.after(SUSPECTED_NANOS, () -> markFailedIfUnreachable(other, nodes.get(node), MemberState.SUSPECT));
+            clock.after(DECLARED_DEAD_NANOS, () -> markFailedIfUnreachable(other, nodes.get(node), MemberState.DEAD));
         }
     }
 
-    private void doubt(Node a, Node b, MemberState state) {
+    private void markFailedIfUnreachable(Node a, Node b, MemberState state) {
         boolean apart = !a.running || !b.running || a.group != b.group;
         if (apart && a != b) {
             a.learn(b, state);
@@ -142,7 +146,7 @@
     private final class Node {
         private final int number;
         private MemberTable table;
-        private MemberDealers dealers;
+        private RendezvousAllocatorDirectory directory;
         private TeamLimiter limiter;
         private boolean running;
         private int group;
@@ -156,13 +160,13 @@
         private void start() {
             running = true;
             table = MemberTable.empty();
-            dealers = MemberDealers.of(clock, () -> record(MemberState.ALIVE), table);
+            directory = RendezvousAllocatorDirectory.of(clock, () -> record(MemberState.ALIVE), table);
             limiter = TeamLimiter.create(
                     new TeamLimiter.Parts(
                             "n" + number,
                             clock,
                             () -> random,
-                            dealers,
+                            directory,
                             name -> Optional.ofNullable(teams.get(name)),
                             this::send),
                     settings);
@@ -183,7 +187,7 @@
             TeamLimiter from = limiter;
             clock.after(hop(), () -> {
                 if (running && other.running && group == other.group) {
-                    other.limiter.received(new Back(this, from, other), message);
+                    other.limiter.received(new ReplyLink(this, from, other), message);
                 }
             });
         }
@@ -193,22 +197,22 @@
         }
     }
 
-    /** Brings answers back. */
-    private final class Back implements Link {
-        private final Node asker;
+    /** Delivers answers to the requesting node. */
+    private final class ReplyLink implements Link {
+        private final Node requester;
         private final TeamLimiter limiter;
-        private final Node answerer;
+        private final Node responder;
 
-        private Back(Node asker, TeamLimiter limiter, Node answerer) {
-            this.asker = asker;
+        private ReplyLink(Node asker, TeamLimiter limiter, Node answerer) {
+            this.requester = asker;
             this.limiter = limiter;
-            this.answerer = answerer;
+            this.responder = answerer;
         }
 
         @Override
         public void send(Message message) {
-            clock.after(asker.hop(), () -> {
-                if (asker.running && asker.limiter == limiter && asker.group == answerer.group) {
+            clock.after(requester.hop(), () -> {
+                if (requester.running && requester.limiter == limiter && requester.group == responder.group) {
                     limiter.received(this, message);
                 }
             });
@@ -231,7 +235,7 @@
 
         @Override
         public long peerIncarnation() {
-            return answerer.incarnation;
+            return responder.incarnation;
         }
 
         @Override
@@ -240,7 +244,7 @@
         }
     }
 
-    /** Counts what becomes of one team's requests, beside what one bucket that sees all of them would do. */
+    /** Counts the outcomes of one team's requests, and how many a single bucket that sees all of them would refuse. */
     static final class Tally implements TeamLimiter.Taker {
         private final VirtualTimerService clock;
         private final List<Long> admittedAt = new ArrayList<>();
@@ -256,10 +260,10 @@
             this.levelNanos = clock.nanos();
         }
 
-        /** Notes a request that is about to be sent. */
-        void asks(RateLimit limit) {
-            double flown = (double) (clock.nanos() - levelNanos) / SECOND * limit.perSecond();
-            level = Math.min(limit.burst(), level + flown);
+        /** Counts a request that is about to be sent. */
+        void countRequest(RateLimit limit) {
+            double refilled = (double) (clock.nanos() - levelNanos) / SECOND * limit.perSecond();
+            level = Math.min(limit.burst(), level + refilled);
             levelNanos = clock.nanos();
             if (level >= 1) {
                 level--;
@@ -290,26 +294,26 @@
             return limited + uncertain;
         }
 
-        int asked() {
+        int requestCount() {
             return admittedCount() + refusedCount();
         }
 
-        /** Returns how many requests were refused that were within the limit. */
-        int lost() {
+        /** Returns how many requests within the limit were refused. */
+        int wronglyRefused() {
             return Math.max(0, refusedCount() - overLimit);
         }
 
-        /** Returns the most requests admitted in any window. */
-        int mostIn(long windowNanos) {
-            int most = 0;
+        /** Returns the maximum number of requests admitted in any window. */
+        int maxAdmittedIn(long windowNanos) {
+            int max = 0;
             int first = 0;
             for (int last = 0; last < admittedAt.size(); last++) {
                 while (admittedAt.get(last) - admittedAt.get(first) >= windowNanos) {
                     first++;
                 }
-                most = Math.max(most, last - first + 1);
+                max = Math.max(max, last - first + 1);
             }
-            return most;
+            return max;
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaModelTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaModelTest.java
@@ -9,9 +9,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Goes through all sequences of a few steps of a dealer and two nodes: questions that arrive, are lost or whose answers
- * are lost, permits that are used, given back or lapse. In none may the nodes together use more than the bucket holds
- * and what flows in.
+ * Runs all sequences of a few steps of an allocator and two nodes: requests for permits that arrive, are lost or whose
+ * answers are lost, permits that are used, returned or expire. In none may the nodes together use more than the bucket
+ * holds plus the refill.
  */
 final class QuotaModelTest {
     private static final long SECOND = 1_000_000_000L;
@@ -22,7 +22,7 @@
     private long sequences;
 
     @Test
-    void neverUsesMoreThanTheBucketHoldsAndWhatFlowsIn() {
+    void neverUsesMoreThanTheBucketHoldsPlusRefill() {
         explore(new ArrayList<>());
         assertTrue(sequences > 100_000, sequences + " sequences");
     }
@@ -40,7 +40,7 @@
         }
     }
 
-    /** What may happen next. */
+    /** A step of a sequence. */
     private enum Step {
         A_ASKS,
         A_QUESTION_LOST,
@@ -53,22 +53,22 @@
         LEASES_LAPSE
     }
 
-    /** One sequence, on a dealer that has dealt nothing for long. */
+    /** One sequence, starting with a full bucket. */
     private final class Run {
         private final List<Long> uses = new ArrayList<>();
-        private Account account = new Account(settings, 0);
+        private PermitBucket bucket = new PermitBucket(settings, 0);
         private long now = 100 * SECOND;
         private long ticket;
-        private final Permits a = new Permits(settings, now);
-        private final Permits b = new Permits(settings, now);
+        private final LeasedPermits a = new LeasedPermits(settings, now);
+        private final LeasedPermits b = new LeasedPermits(settings, now);
 
         private void play(List<Step> steps) {
             steps.forEach(this::play);
             for (int first = 0; first < uses.size(); first++) {
                 for (int last = first; last < uses.size(); last++) {
                     double window = (double) (uses.get(last) - uses.get(first)) / SECOND;
-                    double most = LIMIT.burst() + LIMIT.perSecond() * window;
-                    assertTrue(last - first + 1 <= most, uses + " after " + steps);
+                    double bound = LIMIT.burst() + LIMIT.perSecond() * window;
+                    assertTrue(last - first + 1 <= bound, uses + " after " + steps);
                 }
             }
         }
@@ -88,19 +88,19 @@
             }
         }
 
-        private void ask(String node, Permits permits, boolean arrives, boolean answered) {
-            Demand asked = permits.ask(++ticket, now);
-            Demand demand = new Demand(asked.held(), asked.returned(), 2, 2);
+        private void ask(String node, LeasedPermits permits, boolean arrives, boolean answered) {
+            Demand request = permits.request(++ticket, now);
+            Demand demand = new Demand(request.leased(), request.returned(), 2, 2);
             if (arrives) {
-                Deal deal = account.deal(node, demand, LIMIT, 1, now);
+                Allocation allocation = bucket.allocate(node, demand, LIMIT, 1, now);
                 if (answered) {
-                    permits.add(deal.granted(), now);
+                    permits.add(allocation.granted(), now);
                 }
             }
-            permits.answered();
+            permits.clearPending();
         }
 
-        private void useTwo(Permits permits) {
+        private void useTwo(LeasedPermits permits) {
             for (int i = 0; i < 2; i++) {
                 if (permits.take(now)) {
                     uses.add(now);
@@ -111,7 +111,7 @@
         private void giveBack() {
             if (!uses.isEmpty() && uses.get(uses.size() - 1) == now) {
                 uses.remove(uses.size() - 1);
-                a.giveBack(now);
+                a.returnPermit(now);
             }
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/TeamLimiterTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/TeamLimiterTest.java
@@ -10,49 +10,49 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests one team's requests at a few nodes. */
+/** Tests {@link TeamLimiter} with one team's requests at a few nodes. */
 final class TeamLimiterTest {
     private static final long SETTLED_NANOS = 20 * QuotaFleet.SECOND;
     private static final long ROUND_TRIP_NANOS = 20 * QuotaFleet.MILLI;
 
     private final QuotaFleet fleet = new QuotaFleet(3, 1, QuotaTolerance.none());
-    private int dealer;
+    private int allocator;
     private int other;
 
     @BeforeEach
     void settle() {
-        fleet.list(QuotaReplayTest.team("t", 10, 10));
+        fleet.putTeam(QuotaReplayTest.team("t", 10, 10));
         fleet.clock().advance(SETTLED_NANOS);
-        dealer = fleet.dealer(0, "t");
-        other = (dealer + 1) % 3;
+        allocator = fleet.allocator(0, "t");
+        other = (allocator + 1) % 3;
     }
 
     @Test
     void admitsATeamWithoutALimitAtOnce() {
-        fleet.list(Team.named("free"));
-        Outcome outcome = ask(other, "free");
+        fleet.putTeam(Team.named("free"));
+        Outcome outcome = admit(other, "free");
         assertTrue(outcome.admitted);
     }
 
     @Test
-    void admitsAtTheDealerAtOnce() {
-        assertTrue(ask(dealer, "t").admitted);
+    void admitsAtTheAllocatorAtOnce() {
+        assertTrue(admit(allocator, "t").admitted);
     }
 
     @Test
     void admitsElsewhereAfterARoundTrip() {
-        Outcome outcome = ask(other, "t");
+        Outcome outcome = admit(other, "t");
         assertTrue(!outcome.admitted);
         fleet.clock().advance(ROUND_TRIP_NANOS);
         assertTrue(outcome.admitted);
     }
 
     @Test
-    void refusesWhatIsOverTheLimitWithATimeToComeBack() {
+    void refusesRequestsOverTheLimitWithARetryAfterDelay() {
         for (int i = 0; i < 10; i++) {
-            ask(dealer, "t");
+            admit(allocator, "t");
         }
-        Outcome outcome = ask(other, "t");
+        Outcome outcome = admit(other, "t");
         fleet.clock().advance(ROUND_TRIP_NANOS);
         assertEquals(RefusalReason.RATE_LIMITED, outcome.refusal.reason());
         assertEquals(RunState.NOT_RUN, outcome.refusal.state());
@@ -60,39 +60,39 @@
     }
 
     @Test
-    void givesAPermitToTheNextWhenARequestNeverRan() {
+    void reusesThePermitOfARequestThatNeverRan() {
         for (int i = 0; i < 10; i++) {
-            ask(dealer, "t");
+            admit(allocator, "t");
         }
-        fleet.giveBack(dealer, "t");
-        assertTrue(ask(dealer, "t").admitted);
+        fleet.returnPermit(allocator, "t");
+        assertTrue(admit(allocator, "t").admitted);
     }
 
     @Test
-    void saysThatItIsNotSureWhileTheDealerIsSilent() {
-        fleet.kill(dealer);
-        Outcome outcome = ask(other, "t");
+    void refusesAsUncertainWhileTheAllocatorDoesNotAnswer() {
+        fleet.kill(allocator);
+        Outcome outcome = admit(other, "t");
         fleet.clock().advance(300 * QuotaFleet.MILLI);
         assertEquals(RefusalReason.TEAM_UNCERTAIN, outcome.refusal.reason());
         assertTrue(outcome.refusal.retryAfterMillis() > 0);
     }
 
     @Test
-    void asksTheNextDealerOnceTheSilentOneIsSuspected() {
-        fleet.kill(dealer);
+    void asksTheNextAllocatorOnceTheSilentOneIsSuspected() {
+        fleet.kill(allocator);
         fleet.clock().advance(2 * QuotaFleet.SECOND);
-        Outcome outcome = ask(other, "t");
+        Outcome outcome = admit(other, "t");
         fleet.clock().advance(ROUND_TRIP_NANOS);
         assertTrue(outcome.admitted);
     }
 
-    private Outcome ask(int node, String team) {
+    private Outcome admit(int node, String team) {
         Outcome outcome = new Outcome();
         fleet.admit(node, team, outcome);
         return outcome;
     }
 
-    /** What became of a request. */
+    /** The outcome of a request. */
     private static final class Outcome implements TeamLimiter.Taker {
         private boolean admitted;
         private Refusal refusal;
