--- a/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
@@ -31,7 +31,7 @@
 
     @Override
     public boolean heardAny() {
-        return gossip.heardAny();
+        return gossip.receivedAny();
     }
 
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -307,7 +307,7 @@
     private boolean isolated() {
         boolean alone = table.present().size() <= 1;
         return !alone
-                && parts.timers().nanos() - gossip.heardNanos()
+                && parts.timers().nanos() - gossip.lastReceivedNanos()
                         > settings.owner().isolatedNanos();
     }
 
@@ -357,7 +357,7 @@
         }
 
         @Override
-        public void givenUp(MemberRecord renewed) {
+        public void declaredDead(MemberRecord renewed) {
             rename(renewed);
         }
 
@@ -373,17 +373,17 @@
         }
 
         @Override
-        public void newerPlanAt(Endpoint node) {
+        public void newerPlanFound(Endpoint node) {
             planExchange.fetch(engine.links(), node);
         }
 
         @Override
-        public int followedMillis() {
+        public int followerAgeMillis() {
             return follow.ageMillis();
         }
 
         @Override
-        public void followedHeard(int ageMillis) {
+        public void followerAgeReceived(int ageMillis) {
             follow.heard(ageMillis);
         }
 
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public void configHeard(ConfigState state) {
+        public void configReceived(ConfigState state) {
             config.hear(state);
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/TableDifferences.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/AntiEntropy.java
@@ -8,15 +8,15 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Finds and mends differences between this node's member table and another's: what pushes missed. Runs inside the
- * serial runner of {@link Gossip}.
+ * Finds and repairs differences between this node's member table and another node's, which arise when pushes are lost.
+ * Runs inside the serial runner of {@link Gossip}.
  */
-final class TableDifferences {
-    /** The least time between two comparisons that this node asks for. */
-    private static final long COMPARE_NANOS = 1_000_000_000L;
+final class AntiEntropy {
+    /** The minimum time between two comparisons that this node requests. */
+    private static final long MIN_COMPARE_INTERVAL_NANOS = 1_000_000_000L;
 
-    /** Records a datagram: eight stay below the size at which datagrams are split. */
-    private static final int RECORDS_MOST = 8;
+    /** Records per datagram: eight stay below the size at which datagrams are fragmented. */
+    private static final int MAX_RECORDS = 8;
 
     private final String self;
     private final TimerService timers;
@@ -24,25 +24,25 @@
     private final BiConsumer<Endpoint, GossipMessage> port;
     private long comparedNanos;
 
-    TableDifferences(String self, TimerService timers, MemberTable table, BiConsumer<Endpoint, GossipMessage> port) {
+    AntiEntropy(String self, TimerService timers, MemberTable table, BiConsumer<Endpoint, GossipMessage> port) {
         this.self = self;
         this.timers = timers;
         this.table = table;
         this.port = port;
-        this.comparedNanos = timers.nanos() - COMPARE_NANOS;
+        this.comparedNanos = timers.nanos() - MIN_COMPARE_INTERVAL_NANOS;
     }
 
-    /** Takes the digest of another node's table, and asks for a comparison when it differs. */
-    void seen(Endpoint from, long digest) {
+    /** Compares the digest of another node's table, and requests a comparison by bucket if it differs. */
+    void compareDigest(Endpoint from, long digest) {
         long now = timers.nanos();
-        if (digest != table.digest() && now - comparedNanos >= COMPARE_NANOS) {
+        if (digest != table.digest() && now - comparedNanos >= MIN_COMPARE_INTERVAL_NANOS) {
             comparedNanos = now;
             port.accept(from, buckets(true));
         }
     }
 
-    /** Sends another node what lies in the buckets that differ. */
-    void exchange(Endpoint from, GossipMessage.Buckets theirs) {
+    /** Sends another node the records of the buckets that differ. */
+    void sendDifferences(Endpoint from, GossipMessage.Buckets theirs) {
         long[] mine = table.bucketDigests();
         List<MemberRecord> differing = new ArrayList<>();
         for (MemberRecord r : table.compared()) {
@@ -52,8 +52,8 @@
                 differing.add(r);
             }
         }
-        for (int i = 0; i < differing.size(); i += RECORDS_MOST) {
-            List<MemberRecord> part = differing.subList(i, Math.min(differing.size(), i + RECORDS_MOST));
+        for (int i = 0; i < differing.size(); i += MAX_RECORDS) {
+            List<MemberRecord> part = differing.subList(i, Math.min(differing.size(), i + MAX_RECORDS));
             port.accept(from, new GossipMessage.Records(List.copyOf(part)));
         }
         if (theirs.answer()) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/DatagramPort.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/DatagramPort.java
@@ -10,7 +10,7 @@
     /**
      * Sends a datagram; it may be lost.
      *
-     * @param to where the node listens
+     * @param to where the receiving node listens
      * @param message the message
      */
     void send(Endpoint to, GossipMessage message);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -12,19 +12,19 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Finds nodes that no longer answer: checks one directly, then through others, suspects it, and gives it up when it
- * doesn't refute. Runs inside the serial runner of {@link Gossip}.
+ * Detects nodes that no longer answer: checks a node directly, then through other nodes, suspects it, and declares it
+ * dead unless the node refutes the suspicion. Runs inside the serial runner of {@link Gossip}.
  */
 final class FailureDetector {
-    private static final int HELPERS = 2;
+    private static final int INDIRECT_PROBES = 2;
 
     private final TimerService timers;
     private final GossipSettings settings;
     private final Serial serial;
     private final MemberTable table;
-    private final PeerChoice peers;
+    private final PeerSelector peers;
     private final Host host;
-    private final Suspicions suspicions;
+    private final PartitionDetector suspicions;
     private final Map<Long, Check> checks = new HashMap<>();
     private final Map<Long, GossipMessage.Probe> probes = new HashMap<>();
     private long tickets;
@@ -34,7 +34,7 @@
             GossipSettings settings,
             Serial serial,
             MemberTable table,
-            PeerChoice peers,
+            PeerSelector peers,
             Host host) {
         this.timers = timers;
         this.settings = settings;
@@ -42,10 +42,10 @@
         this.table = table;
         this.peers = peers;
         this.host = host;
-        this.suspicions = new Suspicions(table);
+        this.suspicions = new PartitionDetector(table);
     }
 
-    /** Checks a third node for another one. */
+    /** Checks a third node on behalf of another node. */
     void probe(GossipMessage.Probe probe) {
         long ticket = ++tickets;
         probes.put(ticket, probe);
@@ -53,15 +53,15 @@
         timers.after(settings.probeNanos(), () -> serial.run(() -> probes.remove(ticket)));
     }
 
-    /** Checks that a node answers. */
+    /** Checks whether a node answers. */
     void check(MemberRecord target) {
         long ticket = ++tickets;
         host.send(target.endpoint(), host.rumor(ticket));
-        Subscription patience = timers.after(settings.ackNanos(), () -> serial.run(() -> checkThroughOthers(ticket)));
-        checks.put(ticket, new Check(target, patience));
+        Subscription timeout = timers.after(settings.ackNanos(), () -> serial.run(() -> checkIndirectly(ticket)));
+        checks.put(ticket, new Check(target, timeout));
     }
 
-    private void checkThroughOthers(long ticket) {
+    private void checkIndirectly(long ticket) {
         Check check = checks.get(ticket);
         if (check == null) {
             return;
@@ -69,7 +69,7 @@
         MemberRecord target = check.target();
         List<MemberRecord> others = new ArrayList<>(table.present());
         others.removeIf(r -> r.nodeId().equals(target.nodeId()));
-        for (MemberRecord helper : peers.draw(others, HELPERS)) {
+        for (MemberRecord helper : peers.draw(others, INDIRECT_PROBES)) {
             host.send(
                     helper.endpoint(),
                     new GossipMessage.Probe(
@@ -84,10 +84,10 @@
                 }));
     }
 
-    /** Takes an answer, direct or passed on. */
+    /** Handles an answer, direct or forwarded. */
     void answered(long ticket) {
-        // Nearly all checks are answered; a timer left over would wake the node for each.
-        Optional.ofNullable(checks.remove(ticket)).ifPresent(c -> c.patience().cancel());
+        // Nearly all checks are answered; without the cancellation each would wake the node by its timer later.
+        Optional.ofNullable(checks.remove(ticket)).ifPresent(c -> c.timeout().cancel());
         GossipMessage.Probe probe = probes.remove(ticket);
         if (probe != null) {
             host.send(probe.asker(), new GossipMessage.ProbeAck(probe.ticket()));
@@ -105,19 +105,19 @@
             host.learn(suspected);
         }
         if (sameRegion(suspected)) {
-            timers.after(settings.suspectNanos(), () -> serial.run(() -> giveUp(suspected)));
+            timers.after(settings.suspectNanos(), () -> serial.run(() -> declareDead(suspected)));
         }
     }
 
     /**
-     * Tells whether this node may give another up. Only nodes of its own region may: seen from another region, a failed
-     * node looks like a cut, and behind a cut it goes on and owns its keys.
+     * Returns whether this node may declare another node dead. Only nodes of the same region may: seen from another
+     * region, a failed node can't be told from a network partition, and a partitioned node goes on and owns its keys.
      */
     private boolean sameRegion(MemberRecord other) {
         return other.place().region().equals(host.self().place().region());
     }
 
-    private void giveUp(MemberRecord suspected) {
+    private void declareDead(MemberRecord suspected) {
         Optional<MemberRecord> known = table.find(suspected.nodeId());
         boolean refuted = known.map(k -> k.incarnation() != suspected.incarnation()
                         || k.version() != suspected.version()
@@ -133,33 +133,33 @@
         host.learn(known.get().in(MemberState.DEAD, timers.wallMillis()));
     }
 
-    /** Looks again at a node that was spared since too many others seemed to fail with it. */
+    /** Checks a suspected node again that was not declared dead because too many others seemed to fail with it. */
     private void recheck(MemberRecord suspected) {
         Optional<MemberRecord> known = table.find(suspected.nodeId());
         if (known.isPresent() && known.get().equals(suspected)) {
             long ticket = ++tickets;
             host.send(suspected.endpoint(), host.rumor(ticket));
-            Subscription patience = timers.after(
+            Subscription timeout = timers.after(
                     settings.ackNanos(),
                     () -> serial.run(() -> {
                         if (checks.remove(ticket) != null) {
-                            giveUp(suspected);
+                            declareDead(suspected);
                         }
                     }));
-            checks.put(ticket, new Check(suspected, patience));
+            checks.put(ticket, new Check(suspected, timeout));
         }
     }
 
     /**
-     * A check under way.
+     * A check in progress.
      *
      * @param target the node that is checked
-     * @param patience runs when it has not answered in time
+     * @param timeout the timer that fires when the node has not answered in time
      */
-    private record Check(MemberRecord target, Subscription patience) {}
+    private record Check(MemberRecord target, Subscription timeout) {}
 
     /**
-     * What the detector needs of the gossip it belongs to.
+     * The operations of {@link Gossip} that the detector uses.
      */
     interface Host {
         void send(Endpoint to, GossipMessage message);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -15,30 +15,30 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Spreads what the nodes know of each other and of the configuration, and finds nodes that no longer answer. News is
- * pushed on at once to a few nodes; rounds at a fixed period check one node each and mend what the pushes missed.
- * Everything happens inside a serial runner.
+ * Spreads what the nodes know of each other and of the configuration, and detects nodes that no longer answer. Updates
+ * are pushed at once to a few nodes; rounds at a fixed period check one node each and repair what the pushes missed.
+ * Everything runs inside a serial runner.
  */
 public final class Gossip {
-    private static final long TICKET_NONE = 0;
+    private static final long NO_TICKET = 0;
 
-    private final Self self;
+    private final SelfRecord self;
     private final GossipSettings settings;
     private final TimerService timers;
     private final DatagramPort port;
     private final Counters counters;
     private final Listener listener;
-    private final PeerChoice peers;
+    private final PeerSelector peers;
     private final MemberTable table;
     private final FailureDetector detector;
-    private final TableDifferences differences;
+    private final AntiEntropy antiEntropy;
     private final Serial serial = Serial.create();
-    private final HotNews hot;
-    private final EndGossip ends;
+    private final RumorQueue rumors;
+    private final CrashGossip crashGossip;
     private final Set<Endpoint> seeds = new HashSet<>();
-    private boolean pushing;
-    private volatile long heardNanos;
-    private volatile boolean heardAny;
+    private boolean pushScheduled;
+    private volatile long lastReceivedNanos;
+    private volatile boolean receivedAny;
     private volatile boolean stopped;
 
     private Gossip(Parts parts, GossipSettings settings, MemberRecord start, Listener listener) {
@@ -48,30 +48,30 @@
         this.counters = parts.counters();
         this.listener = listener;
         this.table = parts.table();
-        this.self = new Self(start, timers);
-        this.peers = new PeerChoice(start.nodeId(), start.place(), parts.random());
+        this.self = new SelfRecord(start, timers);
+        this.peers = new PeerSelector(start.nodeId(), start.place(), parts.random());
         this.detector = new FailureDetector(timers, settings, serial, table, peers, new Host());
-        this.differences = new TableDifferences(start.nodeId(), timers, table, this::send);
-        this.hot = new HotNews(table);
-        this.ends = new EndGossip(start.nodeId(), parts, settings, serial, peers, this::send);
-        this.heardNanos = timers.nanos();
+        this.antiEntropy = new AntiEntropy(start.nodeId(), timers, table, this::send);
+        this.rumors = new RumorQueue(table);
+        this.crashGossip = new CrashGossip(start.nodeId(), parts, settings, serial, peers, this::send);
+        this.lastReceivedNanos = timers.nanos();
     }
 
     /**
      * Creates the gossip of a node and subscribes it to the timers.
      *
-     * @param parts what it works with
-     * @param settings how news travels
+     * @param parts the components that gossip uses
+     * @param settings how updates spread and failures are detected
      * @param start the first record of this node
-     * @param seeds nodes to ask at the start
-     * @param listener takes news
+     * @param seeds nodes to contact at the start
+     * @param listener handles updates
      * @return the gossip
      */
     public static Gossip start(
             Parts parts, GossipSettings settings, MemberRecord start, List<Endpoint> seeds, Listener listener) {
         Gossip gossip = new Gossip(parts, settings, start, listener);
         gossip.seeds.addAll(seeds);
-        gossip.ends.start();
+        gossip.crashGossip.start();
         gossip.serial.run(() -> gossip.learn(start));
         long jitter = parts.random().nextLong(settings.roundNanos());
         parts.timers().after(jitter, () -> parts.timers().every(settings.roundNanos(), gossip::round));
@@ -88,28 +88,28 @@
     }
 
     /**
-     * Returns when another node was heard last.
+     * Returns when the last message of another node was received.
      *
      * @return the time in nanoseconds
      */
-    public long heardNanos() {
-        return heardNanos;
+    public long lastReceivedNanos() {
+        return lastReceivedNanos;
     }
 
     /**
-     * Tells whether any other node was heard since the start.
+     * Returns whether a message of any other node was received since the start.
      *
-     * @return whether one was
+     * @return whether one was received
      */
-    public boolean heardAny() {
-        return heardAny;
+    public boolean receivedAny() {
+        return receivedAny;
     }
 
     /**
      * Changes this node's record and spreads it.
      *
-     * @param state how the node fares
-     * @param service the service of the upstream beside it, empty if there is none
+     * @param state the node's state
+     * @param service the service of the upstream colocated with the node, empty if there is none
      * @return the new record
      */
     public MemberRecord change(MemberState state, String service) {
@@ -119,7 +119,7 @@
     }
 
     /**
-     * Gives this node's upstream a new id, since others may have given the old one up.
+     * Gives this node's upstream a new id, since others may have declared the old one dead.
      *
      * @return the new record
      */
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Takes a record from the log.
+     * Merges a record read from the log.
      *
      * @param record the record
      */
@@ -138,12 +138,12 @@
         serial.run(() -> learn(record));
     }
 
-    /** Tells some other nodes at once that this one has new routes. */
+    /** Informs some other nodes at once that this one has new routes. */
     public void pushPlan() {
         serial.run(this::push);
     }
 
-    /** Tells others of a new configuration. */
+    /** Sends the newest configuration to some other nodes. */
     public void pushConfig() {
         serial.run(() -> {
             Optional<ConfigState> state = listener.config();
@@ -152,33 +152,33 @@
         });
     }
 
-    /** Stops telling others anything. */
+    /** Stops sending messages. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Takes a datagram.
+     * Handles a datagram.
      *
      * @param from where the sender listens
      * @param message the message
      */
     public void received(Endpoint from, GossipMessage message) {
         counters.count(Event.GOSSIP_RECEIVED);
-        heardNanos = timers.nanos();
-        heardAny = true;
-        serial.run(() -> take(from, message));
+        lastReceivedNanos = timers.nanos();
+        receivedAny = true;
+        serial.run(() -> handle(from, message));
     }
 
-    private void take(Endpoint from, GossipMessage message) {
+    private void handle(Endpoint from, GossipMessage message) {
         switch (message) {
             case GossipMessage.Rumor m -> {
                 m.news().forEach(this::learn);
-                if (m.ticket() != TICKET_NONE) {
-                    send(from, new GossipMessage.Ack(self().nodeId(), m.ticket(), view(), hot.next()));
+                if (m.ticket() != NO_TICKET) {
+                    send(from, new GossipMessage.Ack(self().nodeId(), m.ticket(), view(), rumors.next()));
                 } else if (m.view().planVersion() < listener.planVersion()) {
-                    // A node that starts has its routes in a round trip, not at the next round 250 ms later.
-                    send(from, rumor(TICKET_NONE));
+                    // A starting node gets its routes after one round trip, not at the next round 250 ms later.
+                    send(from, rumor(NO_TICKET));
                 }
                 compare(from, m.view());
             }
@@ -189,42 +189,42 @@
             }
             case GossipMessage.Probe m -> detector.probe(m);
             case GossipMessage.ProbeAck m -> detector.answered(m.ticket());
-            case GossipMessage.Buckets m -> differences.exchange(from, m);
-            case GossipMessage.Ends m -> ends.take(m);
+            case GossipMessage.Buckets m -> antiEntropy.sendDifferences(from, m);
+            case GossipMessage.Ends m -> crashGossip.receive(m);
             case GossipMessage.Records m -> m.records().forEach(this::learn);
             case GossipMessage.ConfigWanted m ->
                 listener.config().ifPresent(s -> send(from, new GossipMessage.ConfigNews(s)));
-            case GossipMessage.ConfigNews m -> listener.configHeard(m.state());
+            case GossipMessage.ConfigNews m -> listener.configReceived(m.state());
         }
     }
 
     private void round() {
         serial.run(() -> {
-            table.expire(timers.nanos(), timers.wallMillis(), settings.keptNanos());
-            ends.sweep();
+            table.expire(timers.nanos(), timers.wallMillis(), settings.retentionNanos());
+            crashGossip.sweep();
             List<MemberRecord> present = table.present();
             List<MemberRecord> drawn = peers.draw(present, 1);
             drawn.forEach(detector::check);
             if (drawn.isEmpty()) {
-                seeds.forEach(s -> send(s, rumor(TICKET_NONE)));
+                seeds.forEach(s -> send(s, rumor(NO_TICKET)));
             }
         });
     }
 
     private void learn(MemberRecord record) {
         if (record.nodeId().equals(self().nodeId())) {
-            hearOfSelf(record);
+            learnOfSelf(record);
             return;
         }
         accept(record);
     }
 
-    private void hearOfSelf(MemberRecord record) {
+    private void learnOfSelf(MemberRecord record) {
         Optional<MemberRecord> answer = self.refute(record);
         if (answer.isPresent()) {
             accept(answer.get());
             if (!record.state().present() || answer.get().incarnation() != record.incarnation()) {
-                listener.givenUp(answer.get());
+                listener.declaredDead(answer.get());
             }
             return;
         }
@@ -235,23 +235,23 @@
         if (!table.merge(record, timers.nanos())) {
             return;
         }
-        hot.add(record.nodeId());
+        rumors.add(record.nodeId());
         listener.membersChanged();
         listener.learned(record);
-        if (!pushing) {
-            pushing = true;
+        if (!pushScheduled) {
+            pushScheduled = true;
             timers.after(settings.pushNanos(), () -> serial.run(this::push));
         }
     }
 
     private void push() {
-        pushing = false;
-        GossipMessage.Rumor rumor = rumor(TICKET_NONE);
+        pushScheduled = false;
+        GossipMessage.Rumor rumor = rumor(NO_TICKET);
         peers.draw(table.present(), settings.fanOut()).forEach(r -> send(r.endpoint(), rumor));
     }
 
     private GossipMessage.Rumor rumor(long ticket) {
-        return new GossipMessage.Rumor(self().nodeId(), ticket, view(), hot.next());
+        return new GossipMessage.Rumor(self().nodeId(), ticket, view(), rumors.next());
     }
 
     private GossipMessage.View view() {
@@ -259,20 +259,20 @@
                 table.digest(),
                 listener.config().map(ConfigState::version).orElse(-1L),
                 listener.planVersion(),
-                listener.followedMillis(),
-                ends.fingerprint());
+                listener.followerAgeMillis(),
+                crashGossip.fingerprint());
     }
 
     private void compare(Endpoint from, GossipMessage.View theirs) {
-        listener.followedHeard(theirs.followedMillis());
+        listener.followerAgeReceived(theirs.followedMillis());
         if (theirs.configVersion() > listener.config().map(ConfigState::version).orElse(-1L)) {
             send(from, new GossipMessage.ConfigWanted(self().nodeId()));
         }
         if (theirs.planVersion() > listener.planVersion()) {
-            listener.newerPlanAt(from);
+            listener.newerPlanFound(from);
         }
-        differences.seen(from, theirs.digest());
-        ends.seen(from, theirs.endsFingerprint());
+        antiEntropy.compareDigest(from, theirs.digest());
+        crashGossip.compareFingerprint(from, theirs.endsFingerprint());
     }
 
     private void send(Endpoint to, GossipMessage message) {
@@ -283,7 +283,7 @@
     }
 
     /**
-     * Lets the detector send and tell.
+     * Lets the detector send messages and update records.
      */
     private final class Host implements FailureDetector.Host {
         @Override
@@ -308,14 +308,14 @@
     }
 
     /**
-     * What gossip works with.
+     * The components that gossip uses.
      *
-     * @param timers the time
+     * @param timers the clock and timers
      * @param port sends datagrams
-     * @param random where randomness comes from
-     * @param counters where messages are counted
+     * @param random the source of randomness
+     * @param counters counts messages
      * @param table the members
-     * @param quarantine what is known of requests under which upstreams end
+     * @param quarantine the requests that were in flight at crashes of upstreams
      */
     public record Parts(
             TimerService timers,
@@ -326,21 +326,21 @@
             Quarantine quarantine) {}
 
     /**
-     * Takes news.
+     * Handles updates that gossip received.
      */
     public interface Listener {
-        /** Takes the news that some member changed. */
+        /** Called when some member changed. */
         void membersChanged();
 
         /**
-         * Takes the news that others had given this node up.
+         * Called when others had declared this node dead.
          *
-         * @param renewed the record by which it came back
+         * @param renewed the record by which the node refuted that
          */
-        void givenUp(MemberRecord renewed);
+        void declaredDead(MemberRecord renewed);
 
         /**
-         * Takes a record that was new.
+         * Called when a record was new.
          *
          * @param record the record
          */
@@ -354,38 +354,39 @@
         long planVersion();
 
         /**
-         * Takes notice that another node has newer routes.
+         * Called when another node has newer routes.
          *
-         * @param node where it listens
+         * @param node where the other node listens
          */
-        void newerPlanAt(Endpoint node);
+        void newerPlanFound(Endpoint node);
 
         /**
-         * Returns how long ago some node was known to read the operators' record.
+         * Returns the age of the newest known follower heartbeat: when some node was last known to read the operators'
+         * record.
          *
-         * @return the time since, in milliseconds
+         * @return the age, in milliseconds
          */
-        int followedMillis();
+        int followerAgeMillis();
 
         /**
-         * Takes another node's word on that.
+         * Called with the age of the newest follower heartbeat that another node knows of.
          *
-         * @param ageMillis the time since, in milliseconds
+         * @param ageMillis the age, in milliseconds
          */
-        void followedHeard(int ageMillis);
+        void followerAgeReceived(int ageMillis);
 
         /**
-         * Returns the configuration to tell others of.
+         * Returns the configuration to send to others.
          *
          * @return the configuration, if one is known
          */
         Optional<ConfigState> config();
 
         /**
-         * Takes a configuration from another node.
+         * Called when a configuration of another node was received.
          *
-         * @param state the configuration and where on the log it stands
+         * @param state the configuration and its position on the log
          */
-        void configHeard(ConfigState state);
+        void configReceived(ConfigState state);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -7,16 +7,16 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * The datagrams between nodes. Any of them may be lost, repeated or late.
+ * A datagram between nodes. Any datagram may be lost, repeated or late.
  */
 public sealed interface GossipMessage {
     /**
-     * Spreads news and, when asked to, checks that the receiver answers.
+     * Spreads changed records and optionally checks that the receiver answers.
      *
      * @param from the sender's name
-     * @param ticket numbers the message; 0 when no answer is wanted
-     * @param view what the sender knows, in short
-     * @param news records that changed lately
+     * @param ticket identifies the message; 0 if no answer is requested
+     * @param view a summary of what the sender knows
+     * @param news records that changed recently
      */
     record Rumor(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
 
@@ -24,75 +24,75 @@
      * Answers a {@link Rumor}.
      *
      * @param from the sender's name
-     * @param ticket the rumor's number
-     * @param view what the sender knows, in short
-     * @param news records that changed lately
+     * @param ticket the rumor's ticket
+     * @param view a summary of what the sender knows
+     * @param news records that changed recently
      */
     record Ack(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
 
     /**
-     * Asks another node to check a third one.
+     * Requests that the receiver check a third node.
      *
      * @param from the sender's name
-     * @param ticket numbers the check
-     * @param asker where the asking node listens
+     * @param ticket identifies the check
+     * @param asker where the requesting node listens
      * @param target where the third node listens
      */
     record Probe(String from, long ticket, Endpoint asker, Endpoint target) implements GossipMessage {}
 
     /**
-     * Passes on that the third node answered.
+     * Reports that the third node answered.
      *
-     * @param ticket the check
+     * @param ticket identifies the check
      */
     record ProbeAck(long ticket) implements GossipMessage {}
 
     /**
-     * Compares two tables that differ.
+     * Carries the bucket digests of a table that differs from the receiver's.
      *
      * @param from the sender's name
-     * @param answer whether the receiver is to send its own digests back
-     * @param digests one hash a bucket
+     * @param answer whether the receiver should send its own digests back
+     * @param digests one hash per bucket
      */
     record Buckets(String from, boolean answer, List<Long> digests) implements GossipMessage {}
 
     /**
-     * Brings records of buckets that differ.
+     * Carries records of buckets that differ.
      *
      * @param records the records
      */
     record Records(List<MemberRecord> records) implements GossipMessage {}
 
     /**
-     * Asks for the configuration.
+     * Requests the configuration.
      *
      * @param from the sender's name
      */
     record ConfigWanted(String from) implements GossipMessage {}
 
     /**
-     * Brings the configuration.
+     * Carries the configuration.
      *
-     * @param state the configuration and where on the log it stands
+     * @param state the configuration and its position on the log
      */
     record ConfigNews(ConfigState state) implements GossipMessage {}
 
     /**
-     * Tells of upstreams that ended, and of what they had.
+     * Reports crashes of upstreams and the requests in flight at each crash.
      *
      * @param from the sender's name
-     * @param reports what the sender knows, or a part of it
+     * @param reports all reports that the sender knows, or a part of them
      */
     record Ends(String from, List<EndReport> reports) implements GossipMessage {}
 
     /**
-     * What a node knows, in short.
+     * A summary of what a node knows, used to detect differences.
      *
-     * @param digest a hash of its member table
-     * @param configVersion the version of its configuration
-     * @param planVersion the version of its routes, -1 if it has none
-     * @param followedMillis how long ago some node was known to read the operators' record, in milliseconds
-     * @param endsFingerprint a hash of what it knows of upstreams that ended
+     * @param digest a hash of the node's member table
+     * @param configVersion the version of the node's configuration
+     * @param planVersion the version of the node's routes, -1 if it has none
+     * @param followedMillis the age of the newest known follower heartbeat, in milliseconds
+     * @param endsFingerprint a hash of the crashes that the node knows of
      */
     record View(long digest, long configVersion, long planVersion, int followedMillis, long endsFingerprint) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -8,18 +8,18 @@
 import org.verbenadyke.kernel.routing.Upstream;
 
 /**
- * What is known of one node and the upstream beside it.
+ * The known state of one node and of the upstream colocated with the node.
  *
  * @param nodeId the node's name
  * @param incarnation drawn at the node's start; a later start has a higher one
- * @param version raised by the node with each change of its own
- * @param state how it fares
- * @param endpoint where it listens for other nodes
- * @param control where it listens for operators
- * @param place where it stands
- * @param service the service of the upstream beside it, empty if there is none
- * @param changedMillis when the record was made, in milliseconds since the epoch; tells how long a member is gone
- * @param epoch raised by the node when it was given up and came back, so that its upstream gets a new id
+ * @param version incremented by the node with each change of its own record
+ * @param state the node's state
+ * @param endpoint where the node listens for other nodes
+ * @param control where the node listens for operators
+ * @param place the node's region and data centre
+ * @param service the service of the colocated upstream, empty if there is none
+ * @param changedMillis when the record was created, in milliseconds since the epoch; shows how long a member is gone
+ * @param epoch incremented by the node when it had been declared dead and came back, so that its upstream gets a new id
  */
 public record MemberRecord(
         String nodeId,
@@ -33,10 +33,10 @@
         long changedMillis,
         int epoch) {
     /**
-     * Tells whether this record replaces another of the same node.
+     * Returns whether this record replaces another record of the same node.
      *
      * @param other the other record
-     * @return whether this one is newer
+     * @return whether this record is newer
      */
     public boolean supersedes(MemberRecord other) {
         if (incarnation != other.incarnation) {
@@ -53,7 +53,7 @@
      *
      * @param newState the state
      * @param nowMillis the wall clock's time, in milliseconds since the epoch
-     * @return the record, of the same version
+     * @return the record, with the same version
      */
     public MemberRecord in(MemberState newState, long nowMillis) {
         return new MemberRecord(
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Returns the id of the upstream beside the node.
+     * Returns the id of the upstream colocated with the node.
      *
      * @return the id
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns the upstream beside the node.
+     * Returns the upstream colocated with the node.
      *
      * @return the upstream, if there is one
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Returns a hash of what tells two records of a node apart.
+     * Returns a hash of the fields by which two records of a node differ.
      *
      * @return 64 bits
      */
@@ -88,7 +88,7 @@
         return Rendezvous.hash(Long.toHexString(h ^ incarnation), Long.toString(version));
     }
 
-    // Written out: derived ones are generated at their first use, which costs a process that starts much time.
+    // Written out since the JVM generates the methods of a record at their first use, which slows down process start.
     @Override
     public boolean equals(Object other) {
         return other instanceof MemberRecord o
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberState.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberState.java
@@ -1,33 +1,33 @@
 package org.verbenadyke.kernel.membership;
 
 /**
- * How a member fares. Of two records of one incarnation and version, the later state here wins.
+ * The state of a member. Of two records with the same incarnation and version, the one with the later constant wins.
  */
 public enum MemberState {
-    /** It takes work. */
+    /** The member accepts work. */
     ALIVE,
-    /** It did not answer; it still gets work, as others may reach it. */
+    /** The member did not answer some node; it still gets work, as others may reach it. */
     SUSPECT,
-    /** It is leaving: it gets no new work and finishes what it has. */
+    /** The member is leaving: it gets no new work and finishes its work in progress. */
     DRAINING,
-    /** It left as planned. */
+    /** The member left as planned. */
     LEFT,
-    /** It was given up. */
+    /** The member was declared dead. */
     DEAD;
 
     /**
-     * Tells whether the member may still be running.
+     * Returns whether the member may still be running.
      *
-     * @return false once it left or was given up
+     * @return false once the member left or was declared dead
      */
     public boolean present() {
         return this == ALIVE || this == SUSPECT || this == DRAINING;
     }
 
     /**
-     * Tells whether the member's upstream may get new work.
+     * Returns whether the member's upstream may get new work.
      *
-     * @return whether it may
+     * @return whether the upstream may get new work
      */
     public boolean accepting() {
         return this == ALIVE || this == SUSPECT;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
@@ -11,11 +11,11 @@
 import org.verbenadyke.kernel.routing.Upstream;
 
 /**
- * The members that a node knows, with those that left or were given up kept for a while so that they aren't revived.
- * Merging is idempotent and independent of order. Safe for many threads.
+ * The members that a node knows. Members that left or were declared dead are kept for a while so that an old record
+ * doesn't revive them. Merging is idempotent and independent of order. Thread-safe.
  */
 public final class MemberTable {
-    /** How many buckets a digest has. */
+    /** The number of buckets of the digest. */
     public static final int BUCKETS = 64;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -40,8 +40,8 @@
      * Merges a record.
      *
      * @param record the record
-     * @param nowNanos the time
-     * @return whether it was news
+     * @param nowNanos the time, in nanoseconds
+     * @return whether the record changed the table
      */
     public boolean merge(MemberRecord record, long nowNanos) {
         Entry merged = table.compute(record.nodeId(), (id, known) -> {
@@ -49,40 +49,40 @@
             if (old) {
                 return known;
             }
-            noteDeparture(known, record, nowNanos);
+            recordDeparture(known, record, nowNanos);
             Entry next = Entry.after(known, record, nowNanos);
-            count(known);
-            count(next);
+            toggleDigest(known);
+            toggleDigest(next);
             return next;
         });
         return merged.record() == record;
     }
 
     /**
-     * Forgets members that left or were given up long ago. Half that time after they went they are no longer compared
-     * with other nodes, on all nodes at the same wall time, so that none learns of them anew from one that forgets
-     * late.
+     * Removes members that left or were declared dead longer ago than the retention time. Half the retention time after
+     * their departure they are no longer compared with other nodes, on all nodes at the same wall time, so that no node
+     * learns of them again from one that removes them late.
      *
-     * @param nowNanos the time
+     * @param nowNanos the time, in nanoseconds
      * @param nowMillis the wall clock's time, in milliseconds since the epoch
-     * @param keptNanos how long they are kept, in nanoseconds
+     * @param retentionNanos how long departed members are kept, in nanoseconds
      */
-    public void expire(long nowNanos, long nowMillis, long keptNanos) {
-        long compared = nowMillis - keptNanos / NANOS_PER_MILLI / 2;
+    public void expire(long nowNanos, long nowMillis, long retentionNanos) {
+        long comparedSince = nowMillis - retentionNanos / NANOS_PER_MILLI / 2;
         for (Entry e : table.values()) {
-            if (e.counted() && !e.record().state().present() && e.record().changedMillis() < compared) {
-                Entry quiet = new Entry(e.record(), e.since(), e.fingerprint(), false);
-                if (table.replace(e.record().nodeId(), e, quiet)) {
-                    count(e);
+            if (e.compared() && !e.record().state().present() && e.record().changedMillis() < comparedSince) {
+                Entry uncompared = new Entry(e.record(), e.since(), e.fingerprint(), false);
+                if (table.replace(e.record().nodeId(), e, uncompared)) {
+                    toggleDigest(e);
                 }
             }
         }
-        table.values().removeIf(e -> !e.counted() && nowNanos - e.since() > keptNanos);
-        departures.values().removeIf(d -> nowNanos - d.since() > keptNanos);
+        table.values().removeIf(e -> !e.compared() && nowNanos - e.since() > retentionNanos);
+        departures.values().removeIf(d -> nowNanos - d.since() > retentionNanos);
     }
 
     /**
-     * Lists the upstreams that are gone: given up, stopped, or back under another id.
+     * Lists the upstreams that are gone: declared dead, stopped, or back under another id.
      *
      * @return the departures
      */
@@ -103,7 +103,7 @@
     /**
      * Lists the members.
      *
-     * @return every record, those of members that are gone too
+     * @return every record, including those of departed members
      */
     public List<MemberRecord> records() {
         return table.values().stream().map(Entry::record).toList();
@@ -135,18 +135,19 @@
     }
 
     /**
-     * Counts the members that were lost and may still run behind a cut: suspected, or given up lately.
+     * Counts the members that were lost and may still run behind a network partition: those suspected, or declared dead
+     * recently.
      *
-     * @param nowNanos the time
-     * @param withinNanos how long ago a member counts that was given up, in nanoseconds
-     * @return their number
+     * @param nowNanos the time, in nanoseconds
+     * @param withinNanos how long a member counts after it was declared dead, in nanoseconds
+     * @return the number of such members
      */
-    public int lost(long nowNanos, long withinNanos) {
+    public int possiblyPartitioned(long nowNanos, long withinNanos) {
         int lost = 0;
         for (Entry e : table.values()) {
             boolean suspected = e.record().state() == MemberState.SUSPECT;
-            boolean givenUp = e.record().state() == MemberState.DEAD && nowNanos - e.since() < withinNanos;
-            lost += suspected || givenUp ? 1 : 0;
+            boolean declaredDead = e.record().state() == MemberState.DEAD && nowNanos - e.since() < withinNanos;
+            lost += suspected || declaredDead ? 1 : 0;
         }
         return lost;
     }
@@ -178,12 +179,15 @@
     }
 
     /**
-     * Lists what is compared with other nodes.
+     * Lists the records that are compared with other nodes.
      *
      * @return the records that the digests cover
      */
     public List<MemberRecord> compared() {
-        return table.values().stream().filter(Entry::counted).map(Entry::record).toList();
+        return table.values().stream()
+                .filter(Entry::compared)
+                .map(Entry::record)
+                .toList();
     }
 
     /**
@@ -196,25 +200,25 @@
         return (int) Math.floorMod(Rendezvous.hash(nodeId, ""), (long) BUCKETS);
     }
 
-    /** Takes an entry into the digests, or out of them. */
-    private void count(Entry entry) {
-        if (entry != null && entry.counted()) {
+    /** Adds an entry to the digests, or removes it if they contain it. */
+    private void toggleDigest(Entry entry) {
+        if (entry != null && entry.compared()) {
             digests.accumulateAndGet(bucket(entry.record().nodeId()), entry.fingerprint(), (a, b) -> a ^ b);
         }
     }
 
-    private void noteDeparture(Entry known, MemberRecord record, long now) {
+    private void recordDeparture(Entry known, MemberRecord record, long now) {
         if (!record.state().present()) {
-            note(record, record.state() == MemberState.LEFT, now);
+            addDeparture(record, record.state() == MemberState.LEFT, now);
         }
         if (known != null
                 && known.record().state().present()
                 && !known.record().upstreamId().equals(record.upstreamId())) {
-            note(known.record(), false, now);
+            addDeparture(known.record(), false, now);
         }
     }
 
-    private void note(MemberRecord gone, boolean planned, long now) {
+    private void addDeparture(MemberRecord gone, boolean planned, long now) {
         if (!gone.service().isEmpty()) {
             departures.putIfAbsent(gone.upstreamId(), new Departure(gone.upstreamId(), gone.service(), planned, now));
         }
@@ -225,20 +229,20 @@
      *
      * @param upstreamId its id
      * @param service the service it served
-     * @param planned whether it stopped as planned
+     * @param planned whether the upstream stopped as planned
      * @param since when this node learned of it, in nanoseconds
      */
     public record Departure(String upstreamId, String service, boolean planned, long since) {}
 
     /**
-     * A member and when its presence changed last.
+     * A member, and when it last joined or left.
      *
      * @param record the record
-     * @param since when this node learned that the member came or went, in nanoseconds
+     * @param since when this node learned that the member joined or left, in nanoseconds
      * @param fingerprint the record's hash
-     * @param counted whether the digests cover it
+     * @param compared whether the digests cover it
      */
-    public record Entry(MemberRecord record, long since, long fingerprint, boolean counted) {
+    public record Entry(MemberRecord record, long since, long fingerprint, boolean compared) {
         static Entry after(Entry known, MemberRecord record, long now) {
             boolean same = known != null
                     && known.record().incarnation() == record.incarnation()
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Suspicions.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PartitionDetector.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Tells a failed node from a cut between regions: when more than half of another region seems to have failed, the
- * connection to it is taken to have failed instead, and its nodes keep what they own.
+ * Tells a failed node from a network partition between regions: when more than half of a region seems to have failed,
+ * the connection to that region is assumed to have failed instead, and its nodes keep the keys that they own.
  */
-final class Suspicions {
-    private static final int LEAST = 3;
+final class PartitionDetector {
+    private static final int MIN_SUSPECTS = 3;
 
     private final MemberTable table;
 
-    Suspicions(MemberTable table) {
+    PartitionDetector(MemberTable table) {
         this.table = table;
     }
 
@@ -21,6 +21,6 @@
                 .toList();
         long suspects =
                 region.stream().filter(r -> r.state() == MemberState.SUSPECT).count();
-        return suspects >= LEAST && suspects * 2 > region.size();
+        return suspects >= MIN_SUSPECTS && suspects * 2 > region.size();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerChoice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
@@ -7,22 +7,22 @@
 import org.verbenadyke.kernel.routing.Place;
 
 /**
- * Chooses whom to tell: mostly nodes of the own data centre, now and then one elsewhere.
+ * Selects the receivers of gossip: mostly nodes of the same data centre, sometimes one of another.
  */
-final class PeerChoice {
-    private static final int ELSEWHERE_ONE_IN = 4;
+final class PeerSelector {
+    private static final int REMOTE_ONE_IN = 4;
 
     private final String self;
     private final Place place;
     private final RandomGenerator random;
 
-    PeerChoice(String self, Place place, RandomGenerator random) {
+    PeerSelector(String self, Place place, RandomGenerator random) {
         this.self = self;
         this.place = place;
         this.random = random;
     }
 
-    /** Draws up to so many different members out of those present. */
+    /** Draws up to {@code count} different members at random, without this node. */
     List<MemberRecord> draw(List<MemberRecord> present, int count) {
         List<MemberRecord> near = new ArrayList<>();
         List<MemberRecord> far = new ArrayList<>();
@@ -33,8 +33,8 @@
         }
         List<MemberRecord> drawn = new ArrayList<>(count);
         while (drawn.size() < count && !(near.isEmpty() && far.isEmpty())) {
-            boolean elsewhere = near.isEmpty() || !far.isEmpty() && random.nextInt(ELSEWHERE_ONE_IN) == 0;
-            List<MemberRecord> from = elsewhere ? far : near;
+            boolean remote = near.isEmpty() || !far.isEmpty() && random.nextInt(REMOTE_ONE_IN) == 0;
+            List<MemberRecord> from = remote ? far : near;
             drawn.add(from.remove(random.nextInt(from.size())));
         }
         return drawn;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Self.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/SelfRecord.java
@@ -6,13 +6,13 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * The record that a node keeps of itself; nobody else raises its version.
+ * The record that a node keeps of itself; no other node increments its version.
  */
-final class Self {
+final class SelfRecord {
     private final TimerService timers;
     private final AtomicReference<MemberRecord> record;
 
-    Self(MemberRecord start, TimerService timers) {
+    SelfRecord(MemberRecord start, TimerService timers) {
         this.timers = timers;
         this.record = new AtomicReference<>(start);
     }
@@ -29,24 +29,27 @@
         return record.updateAndGet(r -> next(r, r.version() + 1, r.state(), r.service(), r.epoch() + 1));
     }
 
-    /** Answers what others say of this node, when it isn't what the node says itself. */
-    Optional<MemberRecord> refute(MemberRecord said) {
+    /**
+     * Refutes a record of this node received from others that differs from the node's own; empty if nothing needs
+     * refuting.
+     */
+    Optional<MemberRecord> refute(MemberRecord received) {
         MemberRecord mine = record.get();
-        if (said.incarnation() > mine.incarnation() && mine.state() != MemberState.LEFT) {
-            return Optional.of(record.updateAndGet(r -> outranking(r, said)));
+        if (received.incarnation() > mine.incarnation() && mine.state() != MemberState.LEFT) {
+            return Optional.of(record.updateAndGet(r -> superseding(r, received)));
         }
-        boolean aboutMe = said.incarnation() == mine.incarnation() && said.version() >= mine.version();
-        if (!aboutMe || said.equals(mine) || mine.state() == MemberState.LEFT) {
+        boolean current = received.incarnation() == mine.incarnation() && received.version() >= mine.version();
+        if (!current || received.equals(mine) || mine.state() == MemberState.LEFT) {
             return Optional.empty();
         }
-        int more = said.state().present() ? 0 : 1;
-        return Optional.of(record.updateAndGet(
-                r -> next(r, Math.max(r.version(), said.version()) + 1, r.state(), r.service(), r.epoch() + more)));
+        int epochIncrement = received.state().present() ? 0 : 1;
+        return Optional.of(record.updateAndGet(r -> next(
+                r, Math.max(r.version(), received.version()) + 1, r.state(), r.service(), r.epoch() + epochIncrement)));
     }
 
-    /** Goes on above a record of an earlier start whose clock was ahead; it would outrank this start for ever. */
-    private MemberRecord outranking(MemberRecord r, MemberRecord said) {
-        return next(r, said.incarnation() + 1, r.version() + 1, r.state(), r.service(), r.epoch());
+    /** Supersedes a record of an earlier start whose clock was ahead; that record would otherwise win for ever. */
+    private MemberRecord superseding(MemberRecord r, MemberRecord received) {
+        return next(r, received.incarnation() + 1, r.version() + 1, r.state(), r.service(), r.epoch());
     }
 
     private MemberRecord next(MemberRecord r, long version, MemberState state, String service, int epoch) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/RendezvousAllocatorDirectory.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/RendezvousAllocatorDirectory.java
@@ -67,7 +67,7 @@
     @Override
     public double share() {
         int alive = Math.max(1, current().alive().size());
-        return (double) alive / (alive + table.lost(timers.nanos(), LOST_NANOS));
+        return (double) alive / (alive + table.possiblyPartitioned(timers.nanos(), LOST_NANOS));
     }
 
     @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/membership/MemberTableTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/membership/MemberTableTest.java
@@ -18,25 +18,25 @@
     private static final Endpoint END = new Endpoint("10.0.0.1", 1);
 
     @Test
-    void mergesToTheSameInEveryOrder() {
-        List<MemberRecord> news = new ArrayList<>();
+    void mergesToTheSameTableInEveryOrder() {
+        List<MemberRecord> records = new ArrayList<>();
         for (int node = 0; node < 5; node++) {
             for (int version = 0; version < 4; version++) {
                 for (MemberState state : MemberState.values()) {
-                    news.add(record("n" + node, version % 2, version, state));
+                    records.add(record("n" + node, version % 2, version, state));
                 }
             }
         }
         Random random = new Random(1);
-        long digest = digest(news);
+        long digest = digest(records);
         for (int i = 0; i < 20; i++) {
-            Collections.shuffle(news, random);
-            assertEquals(digest, digest(news));
+            Collections.shuffle(records, random);
+            assertEquals(digest, digest(records));
         }
     }
 
     @Test
-    void anOlderRecordRevivesNobody() {
+    void anOlderRecordRevivesNoMember() {
         MemberTable table = MemberTable.empty();
         table.merge(record("a", 1, 3, MemberState.LEFT), 0);
         assertFalse(table.merge(record("a", 1, 2, MemberState.ALIVE), 0));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void notesTheDepartureOfAnUpstreamThatCameBackAnew() {
+    void recordsTheDepartureOfAnUpstreamThatRestarted() {
         MemberTable table = MemberTable.empty();
         table.merge(record("a", 1, 0, MemberState.ALIVE), 0);
         table.merge(record("a", 2, 0, MemberState.ALIVE), 5);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void forgetsTheGoneWithoutLearningThemAnew() {
+    void removesExpiredMembersWithoutLearningThemAgain() {
         long hour = 3_600_000_000_000L;
         MemberTable early = MemberTable.empty();
         MemberTable late = MemberTable.empty();
@@ -75,9 +75,9 @@
         assertEquals(List.of(), late.compared());
     }
 
-    private static long digest(List<MemberRecord> news) {
+    private static long digest(List<MemberRecord> records) {
         MemberTable table = MemberTable.empty();
-        news.forEach(r -> table.merge(r, 0));
+        records.forEach(r -> table.merge(r, 0));
         return table.digest();
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/membership/SelfTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/membership/SelfRecordTest.java
@@ -10,14 +10,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link Self}. */
-final class SelfTest {
+/** Tests {@link SelfRecord}. */
+final class SelfRecordTest {
     private static final Endpoint HERE = new Endpoint("127.0.0.1", 1);
 
-    private final Self self = new Self(record(100, MemberState.ALIVE), VirtualTimerService.startingAt(0));
+    private final SelfRecord self = new SelfRecord(record(100, MemberState.ALIVE), VirtualTimerService.startingAt(0));
 
     @Test
-    void outranksAnEarlierStartWhoseClockWasAhead() {
+    void supersedesAnEarlierStartWhoseClockWasAhead() {
         Optional<MemberRecord> answer = self.refute(record(500, MemberState.ALIVE));
         assertTrue(answer.isPresent());
         assertTrue(answer.get().supersedes(record(500, MemberState.DEAD)));
@@ -25,12 +25,12 @@
     }
 
     @Test
-    void leavesAnEarlierStartWithALowerClockAlone() {
+    void ignoresAnEarlierStartWithALowerClock() {
         assertTrue(self.refute(record(50, MemberState.DEAD)).isEmpty());
     }
 
     @Test
-    void saysNothingMoreAfterItLeft() {
+    void refutesNothingAfterItLeft() {
         self.change(MemberState.LEFT, "");
         assertTrue(self.refute(record(500, MemberState.ALIVE)).isEmpty());
     }
