--- a/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
+++ b/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.admission.FixedLimit;
 import org.verbenadyke.kernel.admission.Gate;
 import org.verbenadyke.kernel.admission.GateSettings;
-import org.verbenadyke.kernel.admission.Waiting;
+import org.verbenadyke.kernel.admission.WaitingCall;
 import org.verbenadyke.kernel.budget.RootBudget;
 import org.verbenadyke.kernel.call.CallId;
 import org.verbenadyke.kernel.call.HeaderField;
@@ -32,7 +32,7 @@
 import org.verbenadyke.kernel.once.SeenCalls;
 import org.verbenadyke.kernel.routing.Choice;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.RouteQuery;
 import org.verbenadyke.kernel.routing.Router;
 import org.verbenadyke.kernel.routing.TwoChoicesProvider;
@@ -58,7 +58,7 @@
     private Router router;
     private RouteQuery query;
     private Gate gate;
-    private Waiting call;
+    private WaitingCall call;
     private SeenCalls seen;
     private Message.Call message;
     private byte[] frame;
@@ -69,7 +69,7 @@
     public void fill() {
         int perService = Integer.parseInt(known.substring(0, known.indexOf('x')));
         int services = Integer.parseInt(known.substring(known.indexOf('x') + 1));
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         List<Upstream> upstreams = new ArrayList<>();
         for (int s = 0; s < services; s++) {
             for (int u = 0; u < perService; u++) {
@@ -160,7 +160,7 @@
     /**
      * A call that is always admitted.
      */
-    private static final class Admitted implements Waiting {
+    private static final class Admitted implements WaitingCall {
         @Override
         public Importance importance() {
             return Importance.NORMAL;
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Capacity.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Capacity.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.membership.MemberState;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Measures the control traffic of a node and how it grows with the number of nodes and with events.
@@ -32,9 +32,9 @@
 
     private static Map<String, Object> measure(int n, long seed) {
         Lab lab = Lab.create(seed, CoreSettings.with(Policy.standard()), false);
-        List<Place> places = new ArrayList<>();
+        List<Location> places = new ArrayList<>();
         for (int i = 0; i < DATA_CENTRES; i++) {
-            places.add(new Place("r" + i % 5, "dc-" + i));
+            places.add(new Location("r" + i % 5, "dc-" + i));
         }
         lab.add(ServiceSpec.of("s", n, 50, 4, Operation.of("read")), places);
         lab.startAll();
--- a/bench/src/main/java/org/verbenadyke/bench/lab/DeepChain.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/DeepChain.java
@@ -9,13 +9,13 @@
 import org.verbenadyke.kernel.config.Configuration;
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.Policy;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * A chain of services that each fail a share of their calls.
  */
 final class DeepChain {
-    private static final List<Place> PLACES = List.of(new Place("r", "dc-1"), new Place("r", "dc-2"));
+    private static final List<Location> PLACES = List.of(new Location("r", "dc-1"), new Location("r", "dc-2"));
     private static final int RATE = 60;
     private static final long LENGTH = 10 * Lab.SECOND;
     private static final long TTL = 4 * Lab.SECOND;
--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
@@ -58,12 +58,12 @@
     LogService seenBy(NodeTimers process) {
         return new LogService() {
             @Override
-            public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+            public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
                 world.after(delay(), () -> doAppend(stream, record, a -> process.run(() -> taker.accept(a))));
             }
 
             @Override
-            public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+            public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
                 world.after(
                         delay(),
                         () -> doRead(
@@ -79,9 +79,9 @@
         return MILLI + random.nextLong(2 * MILLI) + slowNanos;
     }
 
-    private void doAppend(String name, byte[] record, Consumer<LogService.Appended> taker) {
+    private void doAppend(String name, byte[] record, Consumer<LogService.AppendResult> taker) {
         if (outage) {
-            world.after(delay(), () -> taker.accept(new LogService.Appended.Failed("outage")));
+            world.after(delay(), () -> taker.accept(new LogService.AppendResult.Failed("outage")));
             return;
         }
         appends++;
@@ -90,15 +90,15 @@
         stream.records.put(offset, record);
         trim(stream);
         if (random.nextDouble() < loss) {
-            world.after(TIMEOUT_NANOS, () -> taker.accept(new LogService.Appended.Unknown("no answer")));
+            world.after(TIMEOUT_NANOS, () -> taker.accept(new LogService.AppendResult.Unknown("no answer")));
             return;
         }
-        world.after(delay(), () -> taker.accept(new LogService.Appended.At(offset)));
+        world.after(delay(), () -> taker.accept(new LogService.AppendResult.At(offset)));
     }
 
-    private void doRead(String name, long from, long until, Consumer<LogService.Read> taker) {
+    private void doRead(String name, long from, long until, Consumer<LogService.ReadResult> taker) {
         if (outage) {
-            world.after(delay(), () -> taker.accept(new LogService.Read.Failed("outage")));
+            world.after(delay(), () -> taker.accept(new LogService.ReadResult.Failed("outage")));
             return;
         }
         Stream stream = streams.computeIfAbsent(name, n -> new Stream());
@@ -114,7 +114,7 @@
         }
         long first = stream.records.isEmpty() ? stream.next : stream.records.firstKey();
         long next = found.isEmpty() ? Math.max(from, first) : found.getLast().offset() + 1;
-        world.after(delay(), () -> taker.accept(new LogService.Read.Records(first, next, found)));
+        world.after(delay(), () -> taker.accept(new LogService.ReadResult.Records(first, next, found)));
     }
 
     private void trim(Stream stream) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.call.HeaderField;
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.dispatch.CallHandle;
-import org.verbenadyke.kernel.engine.Inbound;
+import org.verbenadyke.kernel.engine.InboundRequest;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
@@ -87,7 +87,7 @@
         all.addAll(queue);
         active.clear();
         queue.clear();
-        all.forEach(w -> w.tell(w.listener::upstreamEnded));
+        all.forEach(w -> w.tell(w.listener::upstreamCrashed));
     }
 
     boolean killed() {
@@ -241,7 +241,7 @@
         private void call(String target, Consumer<Optional<String>> taker) {
             String service = target.substring(0, target.indexOf('/'));
             String path = target.substring(target.indexOf('/')) + "?id=" + id();
-            Inbound inbound = new Inbound(
+            InboundRequest inbound = new InboundRequest(
                     service, new Message.Content("GET", path, List.of(), new byte[0]), "", Optional.empty());
             Collected sink = new Collected(this, taker);
             calling.add(sink);
@@ -252,7 +252,7 @@
             node.process()
                     .run(() -> node.core()
                             .engine()
-                            .callFrom(handOver.contextToken(), inbound, sink)
+                            .submitNested(handOver.contextToken(), inbound, sink)
                             .ifPresent(h -> {
                                 sink.steer(h);
                                 below.add(h);
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 /**
@@ -35,7 +35,7 @@
     private final Effects effects = new Effects();
     private final CoreSettings settings;
     private final List<LabServer> servers = new ArrayList<>();
-    private final Map<Endpoint, Place> places = new LinkedHashMap<>();
+    private final Map<Endpoint, Location> places = new LinkedHashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private final boolean naive;
     private long incarnations = 1;
@@ -53,10 +53,10 @@
         return new Lab(seed, settings, naive);
     }
 
-    void add(ServiceSpec spec, List<Place> over) {
+    void add(ServiceSpec spec, List<Location> over) {
         for (int i = 0; i < spec.servers(); i++) {
             Endpoint endpoint = new Endpoint("10.0.0." + servers.size(), PORT);
-            Place place = over.get(servers.size() % over.size());
+            Location place = over.get(servers.size() % over.size());
             LabServer server = new LabServer(spec.name() + "-" + (i + 1), spec, endpoint, place);
             places.put(endpoint, place);
             servers.add(server);
@@ -166,7 +166,7 @@
         return servers.stream().filter(s -> s.spec().name().equals(service)).toList();
     }
 
-    Place place(Endpoint endpoint) {
+    Location place(Endpoint endpoint) {
         return places.get(endpoint);
     }
 
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 
 import org.verbenadyke.kernel.call.Refusal;
-import org.verbenadyke.kernel.engine.Inbound;
+import org.verbenadyke.kernel.engine.InboundRequest;
 import org.verbenadyke.kernel.message.Message;
 
 /**
@@ -30,7 +30,7 @@
         String service = kind.target().substring(0, kind.target().indexOf('/'));
         String path = kind.target().substring(kind.target().indexOf('/')) + "?id=" + id;
         Message.Content content = new Message.Content(kind.once() ? "POST" : "GET", path, List.of(), new byte[0]);
-        Inbound inbound = new Inbound(service, content, key, Optional.of(ttlNanos));
+        InboundRequest inbound = new InboundRequest(service, content, key, Optional.of(ttlNanos));
         String expected = expected(kind.target(), id);
         Sink sink = new Sink(
                 expected,
@@ -41,7 +41,7 @@
                 .after(
                         CLIENT_NANOS,
                         () -> node.process()
-                                .run(() -> sink.steer(node.core().engine().enter(inbound, sink))));
+                                .run(() -> sink.steer(node.core().engine().submit(inbound, sink))));
     }
 
     private Operation operation(String target) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -14,12 +14,12 @@
 import org.verbenadyke.kernel.membership.GossipMessage;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.trace.DecisionLog;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.HeldCodec;
 import org.verbenadyke.wire.MemberCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 
 /**
  * One node of the lab: the real decision logic on fake time and a fake net.
@@ -55,12 +55,12 @@
                         (to, message) -> net.datagram(endpoint, to, message),
                         log,
                         MemberCodec.create(),
-                        HeldCodec.create(),
+                        QuarantinedRequestCodec.create(),
                         ConfigCodec.create(),
                         () -> random,
-                        PlanKeeper.absent(),
+                        RoutePlanStore.disabled(),
                         node.counters,
-                        Ledger.watching(breaches),
+                        Ledger.reportingTo(breaches),
                         DecisionLog.none()),
                 settings);
         return node;
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabServer.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabServer.java
@@ -1,7 +1,7 @@
 package org.verbenadyke.bench.lab;
 
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * One server of the lab: a node and the upstream beside it, which may be replaced.
@@ -10,13 +10,13 @@
     private final String id;
     private final ServiceSpec spec;
     private final Endpoint endpoint;
-    private final Place place;
+    private final Location place;
     private LabNode node;
     private FakeUpstream upstream;
     private boolean leaving;
     private long upSinceNanos;
 
-    LabServer(String id, ServiceSpec spec, Endpoint endpoint, Place place) {
+    LabServer(String id, ServiceSpec spec, Endpoint endpoint, Location place) {
         this.id = id;
         this.spec = spec;
         this.endpoint = endpoint;
@@ -42,7 +42,7 @@
         return endpoint;
     }
 
-    Place place() {
+    Location place() {
         return place;
     }
 
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Outages.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Outages.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * The control path under trouble: a drain, a change of configuration, an outage of the log, silent connections.
@@ -29,9 +29,9 @@
     /** Creates a service with so many servers and lets them find each other. */
     private static Lab lab(int servers, long seed) {
         Lab lab = Lab.create(seed, CoreSettings.with(Policy.standard()), false);
-        List<Place> places = new ArrayList<>();
+        List<Location> places = new ArrayList<>();
         for (int i = 0; i < DATA_CENTRES; i++) {
-            places.add(new Place("r", "dc-" + i));
+            places.add(new Location("r", "dc-" + i));
         }
         lab.add(ServiceSpec.of("desk", servers, 50, 4, Operation.of("read"), Operation.once("write")), places);
         lab.startAll();
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Soak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Soak.java
@@ -32,7 +32,7 @@
         faults.provoke(until);
         lab.advance(settings.seconds() * Lab.SECOND + SETTLE_NANOS);
         for (Breach b : lab.breaches()) {
-            violations.add(b.promise() + " " + b.subject() + ": " + b.history());
+            violations.add(b.invariant() + " " + b.subject() + ": " + b.history());
         }
         violations.addAll(callers.violations());
         violations.addAll(operators.violations());
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
@@ -192,7 +192,7 @@
             return;
         }
         boolean idle = node.core().engine().server().unfinished() == 0
-                && node.core().engine().dispatcher().underWay() == 0;
+                && node.core().engine().dispatcher().inFlight() == 0;
         if (!idle && lab.world().nanos() < until) {
             lab.world().after(POLL_NANOS, () -> awaitIdle(s, node, until));
             return;
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
@@ -10,7 +10,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.config.ConfigEntry;
 import org.verbenadyke.kernel.config.Configuration;
-import org.verbenadyke.kernel.config.Confirmed;
+import org.verbenadyke.kernel.config.ConfirmOutcome;
 import org.verbenadyke.kernel.config.ImportanceRule;
 
 /**
@@ -22,7 +22,7 @@
     private static final int TRIES_MOST = 6;
 
     private final Lab lab;
-    private final Map<String, Confirmed> told = new HashMap<>();
+    private final Map<String, ConfirmOutcome> told = new HashMap<>();
     private final Map<String, ConfigEntry.Change> changes = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
@@ -64,13 +64,13 @@
         node.process().run(() -> node.core().config().confirm(change, outcome -> heard(change, outcome, tries)));
     }
 
-    private void heard(ConfigEntry.Change change, Confirmed outcome, int tries) {
-        Confirmed before = told.put(change.id(), outcome);
-        boolean settled = before instanceof Confirmed.InForce || before instanceof Confirmed.Lost;
+    private void heard(ConfigEntry.Change change, ConfirmOutcome outcome, int tries) {
+        ConfirmOutcome before = told.put(change.id(), outcome);
+        boolean settled = before instanceof ConfirmOutcome.InForce || before instanceof ConfirmOutcome.Superseded;
         if (settled && before.getClass() != outcome.getClass()) {
             violations.add("change " + change.id() + " told " + before + " and then " + outcome);
         }
-        boolean open = outcome instanceof Confirmed.Unknown || outcome instanceof Confirmed.NotAppended;
+        boolean open = outcome instanceof ConfirmOutcome.Unknown || outcome instanceof ConfirmOutcome.NotAppended;
         if (open && tries < TRIES_MOST) {
             lab.world().after(AGAIN_NANOS, () -> {
                 List<LabServer> working =
@@ -86,7 +86,7 @@
     List<String> violations() {
         Map<Long, String> winners = new HashMap<>();
         told.forEach((id, outcome) -> {
-            if (outcome instanceof Confirmed.InForce f) {
+            if (outcome instanceof ConfirmOutcome.InForce f) {
                 String other = winners.put(f.version(), id);
                 if (other != null) {
                     violations.add("two changes made version " + f.version() + ": " + other + " and " + id);
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorld.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorld.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.owner.OwnerSettings;
 import org.verbenadyke.kernel.quota.QuotaSettings;
 import org.verbenadyke.kernel.quota.QuotaTolerance;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * The services and requests that the randomised runs use.
@@ -24,11 +24,11 @@
             new LabRequest("survey", "survey-view/survey", false, 0.15, false),
             new LabRequest("download", "log-archive/download", false, 0.15, false));
 
-    private static final List<Place> PLACES = List.of(
-            new Place("bc-north", "bc-1"),
-            new Place("bc-north", "bc-2"),
-            new Place("bc-north", "bc-3"),
-            new Place("bc-south", "bs-1"));
+    private static final List<Location> PLACES = List.of(
+            new Location("bc-north", "bc-1"),
+            new Location("bc-north", "bc-2"),
+            new Location("bc-north", "bc-3"),
+            new Location("bc-south", "bs-1"));
     private static final int DOWNLOAD = 400_000;
 
     private SoakWorld() {}
@@ -67,7 +67,7 @@
                 policy,
                 GossipSettings.standard(),
                 config,
-                OwnerSettings.keeping(retention),
+                OwnerSettings.withRetention(retention),
                 30 * Lab.SECOND,
                 0,
                 QuotaSettings.with(QuotaTolerance.none()));
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Surge.java
@@ -11,14 +11,14 @@
 import org.verbenadyke.kernel.config.Configuration;
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.Policy;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Demand at twice the slowed chain's capacity for ten seconds, while callers send again at once, up to three times.
  */
 final class Surge {
-    private static final List<Place> PLACES =
-            List.of(new Place("r", "dc-1"), new Place("r", "dc-2"), new Place("r", "dc-3"));
+    private static final List<Location> PLACES =
+            List.of(new Location("r", "dc-1"), new Location("r", "dc-2"), new Location("r", "dc-3"));
     private static final long WARM_UP = 6 * Lab.SECOND;
     private static final long LENGTH = 10 * Lab.SECOND;
     private static final long AFTER = 20 * Lab.SECOND;
@@ -50,7 +50,8 @@
                 .forEach(s -> s.node()
                         .core()
                         .engine()
-                        .configure(new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
+                        .applyConfiguration(
+                                new Configuration(1, Configuration.initial().retries(), spec.rules(), Set.of())));
         this.caller = new LabCaller(lab);
     }
 
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
@@ -20,15 +20,15 @@
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.engine.RoutedRequest;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Real nodes beside upstreams of different speed, and callers that come back once when they are told to, in virtual
  * time.
  */
 final class CallerFleet {
-    private static final List<Place> PLACES =
-            List.of(new Place("r", "dc-1"), new Place("r", "dc-2"), new Place("r", "dc-3"));
+    private static final List<Location> PLACES =
+            List.of(new Location("r", "dc-1"), new Location("r", "dc-2"), new Location("r", "dc-3"));
     private static final int FAILED_FROM = 300;
     private static final long WARM_UP = 3 * Lab.SECOND;
 
@@ -184,7 +184,7 @@
                     Optional.empty(),
                     stream.waitsMillis * Lab.MILLI - waited,
                     waited);
-            entry.node().core().engine().enter(routed, this);
+            entry.node().core().engine().submit(routed, this);
         }
 
         @Override
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
@@ -16,9 +16,9 @@
 import org.verbenadyke.kernel.core.CoreSettings;
 import org.verbenadyke.kernel.engine.RoutedRequest;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
@@ -32,8 +32,8 @@
     /** For how long a node must have been undisturbed to count, and how late after the third end it must know. */
     static final long STABILITY = 3 * Lab.SECOND;
 
-    private static final List<Place> PLACES =
-            List.of(new Place("r", "dc-1"), new Place("r", "dc-2"), new Place("r", "dc-3"));
+    private static final List<Location> PLACES =
+            List.of(new Location("r", "dc-1"), new Location("r", "dc-2"), new Location("r", "dc-3"));
     private static final FleetOperation LOOKUP = FleetOperation.of("lookup", "well-index", 90, 1_200, 5_000);
     private static final String SENT_BY = "sent-by";
     private static final int SLOTS = 237;
@@ -154,7 +154,7 @@
         Message.Content bad = content(BAD, "");
         return lab.servers().stream()
                 .filter(LabServer::up)
-                .allMatch(s -> s.node().core().quarantine().atEntry(bad) instanceof Standing.Held);
+                .allMatch(s -> s.node().core().quarantine().statusAtEntry(bad) instanceof QuarantineStatus.Quarantined);
     }
 
     /** Returns what all nodes have sent each other in datagrams. */
@@ -285,7 +285,7 @@
                     Optional.empty(),
                     TTL,
                     tries > 1 ? lab.world().nanos() - since : 0);
-            entry.node().core().engine().enter(routed, this);
+            entry.node().core().engine().submit(routed, this);
         }
 
         @Override
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingUpstream.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingUpstream.java
@@ -50,7 +50,7 @@
             return;
         }
         over = true;
-        List.copyOf(running).forEach(w -> process.after(Lab.MILLI / 2, w.listener::upstreamEnded));
+        List.copyOf(running).forEach(w -> process.after(Lab.MILLI / 2, w.listener::upstreamCrashed));
         running.clear();
         host.ended();
     }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/FleetUpstream.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/FleetUpstream.java
@@ -89,7 +89,7 @@
             Message.Content content = new Message.Content("GET", "/" + below.name() + "/x", List.of(), new byte[0]);
             RoutedRequest routed =
                     new RoutedRequest(below.route(), below.service(), content, Importance.NORMAL, parent, left, 0);
-            node.core().engine().enter(routed, new Below());
+            node.core().engine().submit(routed, new Below());
         }
 
         private void answeredBelow(boolean whole) {
--- a/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
+++ b/cli/src/main/java/org/verbenadyke/cli/IntentsReader.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.plan.Intents;
 import org.verbenadyke.node.settings.IniReader;
-import org.verbenadyke.node.settings.SettingsProblems;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 
 /**
  * Reads the operators' intents from an INI file; see docs/operations/confirming.md.
@@ -38,7 +38,7 @@
                 ini.text(RETRIES, "chain").map(v -> (int) ini.number(RETRIES, "chain", -NUMBER_MOST, NUMBER_MOST, 0));
         Intents intents = new Intents(retries, rules(ini), names(ini, "leave"), names(ini, "return"));
         if (!ini.problems().isEmpty()) {
-            throw SettingsProblems.of(ini.problems());
+            throw InvalidSettingsException.of(ini.problems());
         }
         return intents;
     }
@@ -68,7 +68,7 @@
                 && Arrays.stream(Importance.values())
                         .anyMatch(v -> v.name().toLowerCase(Locale.ROOT).equals(words[RULE_WORDS - 1]));
         if (!level) {
-            ini.problem(
+            ini.addProblem(
                     ErrorCode.SETTINGS_BAD_VALUE,
                     IMPORTANCE,
                     key,
--- a/cli/src/main/java/org/verbenadyke/cli/PlanCommand.java
+++ b/cli/src/main/java/org/verbenadyke/cli/PlanCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 
 import org.verbenadyke.node.control.PlanJson;
-import org.verbenadyke.node.settings.SettingsProblems;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -34,7 +34,7 @@
         String body;
         try {
             body = PlanJson.of(IntentsReader.read(intents)).toString();
-        } catch (SettingsProblems e) {
+        } catch (InvalidSettingsException e) {
             e.problems().forEach(common::warn);
             return ExitCodes.USAGE;
         }
--- a/examples/src/main/java/org/verbenadyke/examples/EmbeddedGate.java
+++ b/examples/src/main/java/org/verbenadyke/examples/EmbeddedGate.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.admission.Gate;
 import org.verbenadyke.kernel.admission.GateSettings;
 import org.verbenadyke.kernel.admission.LimitSettings;
-import org.verbenadyke.kernel.admission.Waiting;
+import org.verbenadyke.kernel.admission.WaitingCall;
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RequestId;
@@ -45,7 +45,7 @@
     /**
      * A piece of work as the gate sees it.
      */
-    private final class Work implements Waiting {
+    private final class Work implements WaitingCall {
         private static final long PATIENCE_NANOS = 1_000_000_000L;
 
         private final Importance importance;
--- a/examples/src/test/java/org/verbenadyke/examples/ExamplesTest.java
+++ b/examples/src/test/java/org/verbenadyke/examples/ExamplesTest.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.engine.PlugIns;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -36,6 +36,6 @@
     }
 
     private static Candidate candidate(String id) {
-        return Candidate.of(new Upstream(id, "s", new Endpoint("10.0.0.1", 1), new Place("r", "d")), true);
+        return Candidate.of(new Upstream(id, "s", new Endpoint("10.0.0.1", 1), new Location("r", "d")), true);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/AdmissionQueue.java
@@ -59,7 +59,7 @@
      * @param call the call
      * @param nowNanos the time
      */
-    public void add(Waiting call, long nowNanos) {
+    public void add(WaitingCall call, long nowNanos) {
         Entry entry = new Entry(call, call.rank(), orders.getAndIncrement(), nowNanos);
         byRank.add(entry);
         entries.add(entry);
@@ -99,7 +99,7 @@
      * @param call the call
      * @return whether it still waited
      */
-    public boolean remove(Waiting call) {
+    public boolean remove(WaitingCall call) {
         for (Entry entry : entries) {
             if (entry.call() == call && entries.remove(entry)) {
                 byRank.remove(entry);
@@ -134,5 +134,5 @@
      * @param order its place among equals
      * @param since when it began to wait, in nanoseconds
      */
-    public record Entry(Waiting call, int rank, long order, long since) {}
+    public record Entry(WaitingCall call, int rank, long order, long since) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/Gate.java
@@ -43,7 +43,7 @@
      * @param call the call
      * @param nowNanos the time
      */
-    public void offer(Waiting call, long nowNanos) {
+    public void offer(WaitingCall call, long nowNanos) {
         if (!settings.sheds()) {
             queue.add(call, nowNanos);
             drain(nowNanos);
@@ -71,7 +71,7 @@
      * @param call the call
      * @return whether it still waited; it is told nothing more
      */
-    public boolean withdraw(Waiting call) {
+    public boolean withdraw(WaitingCall call) {
         return queue.remove(call);
     }
 
@@ -183,7 +183,7 @@
     }
 
     private void admit(AdmissionQueue.Entry entry, long nowNanos) {
-        Waiting call = entry.call();
+        WaitingCall call = entry.call();
         if (!settings.sheds()) {
             call.admitted();
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/admission/Waiting.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/admission/WaitingCall.java
@@ -6,7 +6,7 @@
 /**
  * A call that asks to be handed to the upstream.
  */
-public interface Waiting {
+public interface WaitingCall {
     /**
      * Returns how much the call matters.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/budget/ParentBudget.java
@@ -43,12 +43,12 @@
         open.put(ticket, decision);
         ask(ticket);
         if (closed) {
-            granted(ticket, false);
+            decided(ticket, false);
         }
     }
 
     /** Asks all open questions again, since the link that they went by is gone. */
-    public void askAgain() {
+    public void resendPending() {
         open.keySet().forEach(this::ask);
     }
 
@@ -58,7 +58,7 @@
      * @param ticket the question
      * @param granted whether the retry may be made
      */
-    public void granted(long ticket, boolean granted) {
+    public void decided(long ticket, boolean granted) {
         Consumer<Boolean> decision = open.remove(ticket);
         if (decision != null) {
             decision.accept(granted);
@@ -73,7 +73,7 @@
     public void close() {
         closed = true;
         for (Long ticket : open.keySet()) {
-            granted(ticket, false);
+            decided(ticket, false);
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/concurrent/Serial.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/concurrent/SerialExecutor.java
@@ -7,19 +7,19 @@
  * Runs tasks one at a time on whichever thread brings them, without locks and without a thread of its own. A task that
  * arrives while another runs is run by the thread that is already at work.
  */
-public final class Serial {
+public final class SerialExecutor {
     private final ConcurrentLinkedQueue<Runnable> queue = new ConcurrentLinkedQueue<>();
     private final AtomicInteger pending = new AtomicInteger();
 
-    private Serial() {}
+    private SerialExecutor() {}
 
     /**
      * Creates an idle runner.
      *
      * @return the runner
      */
-    public static Serial create() {
-        return new Serial();
+    public static SerialExecutor create() {
+        return new SerialExecutor();
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigSettings.java
@@ -38,7 +38,7 @@
      *
      * @return the settings
      */
-    public static ConfigSettings unfollowed() {
+    public static ConfigSettings notFollowing() {
         ConfigSettings s = standard();
         return new ConfigSettings(false, s.pollMillis, s.idleNanos, s.retryNanos, s.confirmNanos, s.snapshotNanos);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigState.java
@@ -70,10 +70,10 @@
      * What became of a change.
      *
      * @param id the change
-     * @param won whether it took effect
+     * @param tookEffect whether it took effect
      * @param version the version it made, or the one in force that it lost against
      * @param author who confirmed it
      * @param atMillis when, in milliseconds since the epoch
      */
-    public record Decision(String id, boolean won, long version, String author, long atMillis) {}
+    public record Decision(String id, boolean tookEffect, long version, String author, long atMillis) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.log.LogService;
 import org.verbenadyke.kernel.log.RecordCodec;
 import org.verbenadyke.kernel.metrics.Counters;
@@ -20,7 +20,7 @@
  * Keeps the configuration of one node up to date: from the log, which a few nodes of each data centre follow closely
  * and the others now and then, and from other nodes. Appends confirmed changes and finds out what became of them.
  */
-public final class ConfigKeeper {
+public final class ConfigStore {
     /** The stream of configuration entries. */
     public static final String STREAM = "configuration";
 
@@ -30,14 +30,14 @@
     private final Parts parts;
     private final ConfigSettings settings;
     private final ConfigReader reader = ConfigReader.create();
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Map<String, Pending> confirming = new HashMap<>();
     private final AtomicLong readNanos;
     private volatile ConfigState published;
     private volatile boolean synced;
     private boolean reading;
 
-    private ConfigKeeper(Parts parts, ConfigSettings settings) {
+    private ConfigStore(Parts parts, ConfigSettings settings) {
         this.parts = parts;
         this.settings = settings;
         this.readNanos = new AtomicLong(parts.timers().nanos());
@@ -50,8 +50,8 @@
      * @param settings how often it reads and writes
      * @return the keeper
      */
-    public static ConfigKeeper start(Parts parts, ConfigSettings settings) {
-        ConfigKeeper keeper = new ConfigKeeper(parts, settings);
+    public static ConfigStore start(Parts parts, ConfigSettings settings) {
+        ConfigStore keeper = new ConfigStore(parts, settings);
         if (!settings.followed()) {
             return keeper;
         }
@@ -107,7 +107,7 @@
      *
      * @param told the state
      */
-    public void hear(ConfigState told) {
+    public void receive(ConfigState told) {
         serial.run(() -> {
             reader.hear(told);
             publish();
@@ -120,23 +120,23 @@
      * @param change the change
      * @param taker is told once
      */
-    public void confirm(ConfigEntry.Change change, Consumer<Confirmed> taker) {
+    public void confirm(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
         serial.run(() -> {
             Optional<ConfigState.Decision> known = reader.state().flatMap(s -> s.decision(change.id()));
             if (known.isPresent()) {
-                taker.accept(Confirmed.of(known.get()));
+                taker.accept(ConfirmOutcome.of(known.get()));
                 return;
             }
             long inForce = reader.state().map(ConfigState::version).orElse(0L);
             if (reader.state().isPresent() && change.base() < inForce) {
-                taker.accept(new Confirmed.Lost(inForce));
+                taker.accept(new ConfirmOutcome.Superseded(inForce));
                 return;
             }
             append(change, taker);
         });
     }
 
-    private void append(ConfigEntry.Change change, Consumer<Confirmed> taker) {
+    private void append(ConfigEntry.Change change, Consumer<ConfirmOutcome> taker) {
         Pending pending = new Pending(taker);
         confirming.put(change.id(), pending);
         parts.timers()
@@ -144,7 +144,7 @@
                         settings.confirmNanos(),
                         () -> serial.run(() -> {
                             confirming.remove(change.id(), pending);
-                            pending.tell(new Confirmed.Unknown("the log did not show the change in time"));
+                            pending.tell(new ConfirmOutcome.Unknown("the log did not show the change in time"));
                         }));
         parts.log()
                 .append(
@@ -153,14 +153,14 @@
                         parts.codec().encode(change),
                         result -> serial.run(() -> {
                             switch (result) {
-                                case LogService.Appended.At at ->
+                                case LogService.AppendResult.At at ->
                                     parts.counters().count(Event.LOG_APPENDED);
-                                case LogService.Appended.Unknown u ->
+                                case LogService.AppendResult.Unknown u ->
                                     parts.counters().count(Event.LOG_FAILED);
-                                case LogService.Appended.Failed f -> {
+                                case LogService.AppendResult.Failed f -> {
                                     parts.counters().count(Event.LOG_FAILED);
                                     confirming.remove(change.id(), pending);
-                                    pending.tell(new Confirmed.NotAppended(f.why()));
+                                    pending.tell(new ConfirmOutcome.NotAppended(f.reason()));
                                 }
                             }
                             read();
@@ -176,10 +176,10 @@
         parts.log().read(STREAM, reader.nextOffset(), wait, result -> serial.run(() -> taken(result)));
     }
 
-    private void taken(LogService.Read result) {
+    private void taken(LogService.ReadResult result) {
         reading = false;
         switch (result) {
-            case LogService.Read.Records r -> {
+            case LogService.ReadResult.Records r -> {
                 readNanos.set(parts.timers().nanos());
                 Map<Long, ConfigEntry> entries = new HashMap<>();
                 r.records().forEach(x -> entries.put(x.offset(), parts.codec().decode(x.bytes())));
@@ -187,7 +187,7 @@
                 publish();
                 again(r.records().isEmpty() && !closely() ? settings.idleNanos() : SEEN_MILLIS * NANOS_PER_MILLI);
             }
-            case LogService.Read.Failed f -> {
+            case LogService.ReadResult.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
                 again(settings.retryNanos());
             }
@@ -218,7 +218,7 @@
                 .entrySet()
                 .removeIf(e -> published
                         .decision(e.getKey())
-                        .map(d -> e.getValue().tell(Confirmed.of(d)))
+                        .map(d -> e.getValue().tell(ConfirmOutcome.of(d)))
                         .orElse(false));
     }
 
@@ -236,7 +236,10 @@
                         STREAM,
                         parts.codec().encode(snapshot),
                         r -> parts.counters()
-                                .count(r instanceof LogService.Appended.At ? Event.LOG_APPENDED : Event.LOG_FAILED));
+                                .count(
+                                        r instanceof LogService.AppendResult.At
+                                                ? Event.LOG_APPENDED
+                                                : Event.LOG_FAILED));
     }
 
     /**
@@ -263,14 +266,14 @@
      * A confirmation under way.
      */
     private static final class Pending {
-        private final Consumer<Confirmed> taker;
+        private final Consumer<ConfirmOutcome> taker;
         private boolean told;
 
-        private Pending(Consumer<Confirmed> taker) {
+        private Pending(Consumer<ConfirmOutcome> taker) {
             this.taker = taker;
         }
 
-        boolean tell(Confirmed outcome) {
+        boolean tell(ConfirmOutcome outcome) {
             if (!told) {
                 told = true;
                 taker.accept(outcome);
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/Confirmed.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfirmOutcome.java
@@ -3,34 +3,34 @@
 /**
  * What came of confirming a change.
  */
-public sealed interface Confirmed {
+public sealed interface ConfirmOutcome {
     /**
      * The change took effect.
      *
      * @param version the version it made
      */
-    record InForce(long version) implements Confirmed {}
+    record InForce(long version) implements ConfirmOutcome {}
 
     /**
      * Another change was first; this one never takes effect.
      *
      * @param version the version in force
      */
-    record Lost(long version) implements Confirmed {}
+    record Superseded(long version) implements ConfirmOutcome {}
 
     /**
      * The change is not on the log.
      *
-     * @param why what went wrong
+     * @param reason what went wrong
      */
-    record NotAppended(String why) implements Confirmed {}
+    record NotAppended(String reason) implements ConfirmOutcome {}
 
     /**
      * It can't be known yet; asking again with the same change is safe.
      *
-     * @param why what is missing
+     * @param reason what is missing
      */
-    record Unknown(String why) implements Confirmed {}
+    record Unknown(String reason) implements ConfirmOutcome {}
 
     /**
      * Words a decision.
@@ -38,7 +38,7 @@
      * @param decision what the log showed
      * @return the outcome
      */
-    static Confirmed of(ConfigState.Decision decision) {
-        return decision.won() ? new InForce(decision.version()) : new Lost(decision.version());
+    static ConfirmOutcome of(ConfigState.Decision decision) {
+        return decision.tookEffect() ? new InForce(decision.version()) : new Superseded(decision.version());
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
@@ -12,8 +12,8 @@
 import org.verbenadyke.kernel.membership.DatagramPort;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
@@ -44,10 +44,10 @@
         DatagramPort datagrams,
         LogService log,
         RecordCodec<MemberRecord> members,
-        RecordCodec<HeldRequest> held,
+        RecordCodec<QuarantinedRequest> held,
         RecordCodec<ConfigEntry> configuration,
         Supplier<RandomGenerator> random,
-        PlanKeeper plans,
+        RoutePlanStore plans,
         Counters counters,
         Ledger ledger,
         DecisionLog decisions) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -45,7 +45,7 @@
                 policy,
                 GossipSettings.standard(),
                 ConfigSettings.standard(),
-                OwnerSettings.keeping(policy.keyRetentionNanos()),
+                OwnerSettings.withRetention(policy.keyRetentionNanos()),
                 DEFAULT_REWRITE_NANOS,
                 0,
                 QuotaSettings.with(QuotaTolerance.none()));
@@ -59,7 +59,7 @@
      */
     public static CoreSettings withoutConfigLog(Policy policy) {
         CoreSettings s = with(policy);
-        return new CoreSettings(policy, s.gossip, ConfigSettings.unfollowed(), s.owner, s.rewriteNanos, 0, s.quota);
+        return new CoreSettings(policy, s.gossip, ConfigSettings.notFollowing(), s.owner, s.rewriteNanos, 0, s.quota);
     }
 
     /**
@@ -77,7 +77,7 @@
      * @param tolerance by how much limits may be exceeded
      * @return the settings
      */
-    public CoreSettings tolerating(QuotaTolerance tolerance) {
+    public CoreSettings withQuotaTolerance(QuotaTolerance tolerance) {
         return new CoreSettings(
                 policy, gossip, config, owner, rewriteNanos, spreadNanos, QuotaSettings.with(tolerance));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/FinishedStarts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/FinishedStarts.java
@@ -22,7 +22,7 @@
 
     /** Notes that a start and all earlier ones under its id are over. */
     void finish(UpstreamStart start) {
-        put(start.id(), new Finished(latest(find(start.id()).newestBorn(), start.bornMillis()), Long.MIN_VALUE));
+        put(start.id(), new Finished(latest(find(start.id()).newestBorn(), start.startedMillis()), Long.MIN_VALUE));
     }
 
     /**
@@ -41,7 +41,7 @@
         if (finished == null) {
             return false;
         }
-        if (start.bornMillis().isEmpty()) {
+        if (start.startedMillis().isEmpty()) {
             return true;
         }
         if (nowNanos < finished.unheardUntilNanos()) {
@@ -49,7 +49,7 @@
             return true;
         }
         OptionalLong newest = finished.newestBorn();
-        return newest.isPresent() && start.bornMillis().getAsLong() <= newest.getAsLong();
+        return newest.isPresent() && start.startedMillis().getAsLong() <= newest.getAsLong();
     }
 
     private Finished find(String id) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
@@ -4,8 +4,8 @@
 
 import org.verbenadyke.kernel.log.LogService;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
@@ -36,13 +36,13 @@
     }
 
     private void write(RequestDigest request) {
-        Optional<HeldRequest> held = quarantine.record(request);
+        Optional<QuarantinedRequest> held = quarantine.record(request);
         if (held.isEmpty()) {
             return;
         }
         byte[] bytes = parts.held().encode(held.get());
         parts.log().append(MemberLog.STREAM, held.get().key(), bytes, result -> {
-            boolean done = result instanceof LogService.Appended.At;
+            boolean done = result instanceof LogService.AppendResult.At;
             parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
             if (!done) {
                 parts.timers().after(AGAIN_NANOS, () -> write(request));
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
@@ -3,8 +3,8 @@
 import org.verbenadyke.kernel.follow.FollowDuty;
 import org.verbenadyke.kernel.membership.Gossip;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
 import org.verbenadyke.kernel.quarantine.Quarantine;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 
 /**
  * The node as the members' stream sees it.
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void restore(HeldRequest held) {
+    public void restore(QuarantinedRequest held) {
         quarantine.restore(held);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-import org.verbenadyke.kernel.config.ConfigKeeper;
+import org.verbenadyke.kernel.config.ConfigStore;
 import org.verbenadyke.kernel.follow.MemberRank;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberTable;
@@ -37,10 +37,7 @@
     boolean tailing() {
         MemberRecord me = self.get();
         int rank = MemberRank.of(
-                me.nodeId(),
-                ConfigKeeper.STREAM,
-                table.present(),
-                r -> r.place().equals(me.place()));
+                me.nodeId(), ConfigStore.STREAM, table.present(), r -> r.place().equals(me.place()));
         return rank < TAILERS;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
@@ -102,8 +102,8 @@
         later(REPLACED_NANOS, this::read);
     }
 
-    private void appended(LogService.Appended result) {
-        boolean done = result instanceof LogService.Appended.At;
+    private void appended(LogService.AppendResult result) {
+        boolean done = result instanceof LogService.AppendResult.At;
         parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
         if (!done) {
             later(AGAIN_NANOS, this::write);
@@ -142,10 +142,10 @@
         parts.log().read(STREAM, nextOffset, 0, this::answered);
     }
 
-    private synchronized void answered(LogService.Read result) {
+    private synchronized void answered(LogService.ReadResult result) {
         reading = false;
         switch (result) {
-            case LogService.Read.Records r -> {
+            case LogService.ReadResult.Records r -> {
                 r.records().forEach(this::take);
                 // A page may have been read of which no record is left; only one that leads nowhere is the end.
                 boolean atEnd = r.complete() || r.records().isEmpty() && r.nextOffset() <= nextOffset;
@@ -156,7 +156,7 @@
                     read();
                 }
             }
-            case LogService.Read.Failed f -> {
+            case LogService.ReadResult.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
                 // Whoever has been found by others needs no list.
                 later(host.heardAny() ? AGAIN_NANOS : RETRY_NANOS, this::read);
@@ -207,7 +207,7 @@
 
     /** Takes a record that is none of a member. */
     private void takeHeld(LogService.LogRecord record, VerbenadykeException noMember) {
-        HeldRequest held;
+        QuarantinedRequest held;
         try {
             held = parts.held().decode(record.bytes());
         } catch (VerbenadykeException e) {
@@ -254,7 +254,7 @@
         void learn(MemberRecord member);
 
         /** Takes a request that was held back. */
-        void restore(HeldRequest held);
+        void restore(QuarantinedRequest held);
 
         /** Tells whether another node was heard since the start. */
         boolean heardAny();
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.admission.SlotLimit;
-import org.verbenadyke.kernel.config.ConfigKeeper;
 import org.verbenadyke.kernel.config.ConfigState;
+import org.verbenadyke.kernel.config.ConfigStore;
 import org.verbenadyke.kernel.config.Configuration;
 import org.verbenadyke.kernel.engine.Engine;
 import org.verbenadyke.kernel.engine.EngineParts;
@@ -46,9 +46,9 @@
     private final KeyOwners owners;
     private final Engine engine;
     private final Gossip gossip;
-    private final ConfigKeeper config;
+    private final ConfigStore config;
     private final MemberLog memberLog;
-    private final FollowDuty follow;
+    private final FollowDuty followDuty;
     private final PlanExchange planExchange;
     private final TeamLimiter limiter;
     private final Debounce refreshing;
@@ -66,7 +66,7 @@
         this.engine = Engine.create(engineParts(), settings.policy());
         this.limiter = TeamLimiter.create(limiterParts(), settings.quota());
         owners.connectThrough(engine.links());
-        this.follow = FollowDuty.of(
+        this.followDuty = FollowDuty.of(
                 parts.timers(),
                 FollowSettings.standard(),
                 this::self,
@@ -79,8 +79,8 @@
                 parts.self(),
                 parts.seeds(),
                 new News());
-        this.config = ConfigKeeper.start(
-                new ConfigKeeper.Parts(
+        this.config = ConfigStore.start(
+                new ConfigStore.Parts(
                         parts.timers(),
                         parts.log(),
                         parts.configuration(),
@@ -90,7 +90,7 @@
                         this::inForce),
                 settings.config());
         HeldLog.start(parts, quarantine);
-        this.memberLog = new MemberLog(parts, new ListedNode(gossip, follow, quarantine));
+        this.memberLog = new MemberLog(parts, new ListedNode(gossip, followDuty, quarantine));
     }
 
     /**
@@ -158,7 +158,7 @@
 
     /** Hands the keys on and says that the node stops as planned; called when nothing is in flight any more. */
     public void leave() {
-        engine.server().upstream().ifPresent(u -> owners.handOn(u, duties.heirs(u)));
+        engine.server().upstream().ifPresent(u -> owners.transferKeys(u, duties.heirs(u)));
         gossip.change(MemberState.LEFT, gossip.self().service());
         memberLog.leave();
     }
@@ -193,7 +193,7 @@
      *
      * @return the keeper
      */
-    public ConfigKeeper config() {
+    public ConfigStore config() {
         return config;
     }
 
@@ -229,8 +229,8 @@
      *
      * @return the duty
      */
-    public FollowDuty follow() {
-        return follow;
+    public FollowDuty followDuty() {
+        return followDuty;
     }
 
     /**
@@ -308,11 +308,11 @@
         boolean alone = table.present().size() <= 1;
         return !alone
                 && parts.timers().nanos() - gossip.lastReceivedNanos()
-                        > settings.owner().isolatedNanos();
+                        > settings.owner().isolatedAfterNanos();
     }
 
     private void inForce(Configuration configuration) {
-        engine.configure(configuration);
+        engine.applyConfiguration(configuration);
         if (gossip != null) {
             gossip.pushConfig();
         }
@@ -379,12 +379,12 @@
 
         @Override
         public int followerAgeMillis() {
-            return follow.ageMillis();
+            return followDuty.ageMillis();
         }
 
         @Override
         public void followerAgeReceived(int ageMillis) {
-            follow.heard(ageMillis);
+            followDuty.heard(ageMillis);
         }
 
         @Override
@@ -394,7 +394,7 @@
 
         @Override
         public void configReceived(ConfigState state) {
-            config.hear(state);
+            config.receive(state);
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
@@ -3,7 +3,7 @@
 import org.verbenadyke.kernel.link.Links;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
@@ -12,26 +12,26 @@
 final class PlanExchange {
     private static final String SOURCE = "peer";
 
-    private final PlanKeeper plans;
+    private final RoutePlanStore plans;
 
-    private PlanExchange(PlanKeeper plans) {
+    private PlanExchange(RoutePlanStore plans) {
         this.plans = plans;
     }
 
-    static PlanExchange of(PlanKeeper plans) {
+    static PlanExchange of(RoutePlanStore plans) {
         return new PlanExchange(plans);
     }
 
     /** Asks a node for its routes. */
     void fetch(Links links, Endpoint node) {
-        links.acquire(node, link -> link.ifPresent(l -> l.send(new Message.PlanWanted())));
+        links.acquire(node, link -> link.ifPresent(l -> l.send(new Message.PlanRequest())));
     }
 
     void received(Link link, Message message) {
-        if (message instanceof Message.PlanTold told) {
+        if (message instanceof Message.PlanReply told) {
             plans.offer(told.document(), SOURCE);
             return;
         }
-        plans.document().ifPresent(d -> link.send(new Message.PlanTold(d.bytes())));
+        plans.document().ifPresent(d -> link.send(new Message.PlanReply(d.bytes())));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamBeat.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamHeartbeat.java
@@ -13,7 +13,7 @@
  * @param coldNanos how much longer it is slow after its start, in nanoseconds
  * @param sequence counts the heartbeats of this start; a lower one than was seen is late
  */
-public record UpstreamBeat(
+public record UpstreamHeartbeat(
         UpstreamStart start,
         String service,
         Endpoint address,
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamWatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
@@ -11,17 +11,17 @@
  * heartbeat that was held up on the way changes nothing: neither an older one of the same start, nor one of a start
  * that another has replaced or that has said that it is gone.
  */
-public final class UpstreamWatch {
+public final class UpstreamMonitor {
     private final TimerService timers;
     private final long silentNanos;
-    private final Host host;
-    private final Serial serial = Serial.create();
+    private final Listener host;
+    private final SerialExecutor serial = SerialExecutor.create();
     private final FinishedStarts over = FinishedStarts.none();
-    private UpstreamBeat current;
+    private UpstreamHeartbeat current;
     private boolean present;
     private long heardNanos;
 
-    private UpstreamWatch(TimerService timers, long silentNanos, Host host) {
+    private UpstreamMonitor(TimerService timers, long silentNanos, Listener host) {
         this.timers = timers;
         this.silentNanos = silentNanos;
         this.host = host;
@@ -35,8 +35,8 @@
      * @param host takes the changes
      * @return the watch
      */
-    public static UpstreamWatch start(TimerService timers, long silentNanos, Host host) {
-        UpstreamWatch watch = new UpstreamWatch(timers, silentNanos, host);
+    public static UpstreamMonitor start(TimerService timers, long silentNanos, Listener host) {
+        UpstreamMonitor watch = new UpstreamMonitor(timers, silentNanos, host);
         timers.every(silentNanos / 2, () -> watch.serial.run(watch::look));
         return watch;
     }
@@ -46,7 +46,7 @@
      *
      * @param beat the heartbeat
      */
-    public void hear(UpstreamBeat beat) {
+    public void heartbeat(UpstreamHeartbeat beat) {
         serial.run(() -> take(beat));
     }
 
@@ -79,11 +79,11 @@
      *
      * @return the heartbeat, empty before the first
      */
-    public Optional<UpstreamBeat> current() {
+    public Optional<UpstreamHeartbeat> current() {
         return Optional.ofNullable(current);
     }
 
-    private void take(UpstreamBeat beat) {
+    private void take(UpstreamHeartbeat beat) {
         if (late(beat)) {
             host.late(beat);
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    private boolean late(UpstreamBeat beat) {
+    private boolean late(UpstreamHeartbeat beat) {
         if (over.covers(beat.start(), timers.nanos())) {
             return true;
         }
@@ -119,9 +119,9 @@
         return mustYield && (beat.start().bornBefore(current.start()) || hidesItsBirth(beat));
     }
 
-    private boolean hidesItsBirth(UpstreamBeat beat) {
-        return beat.start().bornMillis().isEmpty()
-                && current.start().bornMillis().isPresent();
+    private boolean hidesItsBirth(UpstreamHeartbeat beat) {
+        return beat.start().startedMillis().isEmpty()
+                && current.start().startedMillis().isPresent();
     }
 
     private void end(UpstreamStart gone) {
@@ -141,7 +141,7 @@
     }
 
     private void endOther(UpstreamStart gone) {
-        if (gone.bornMillis().isPresent()) {
+        if (gone.startedMillis().isPresent()) {
             over.finish(gone);
         } else {
             over.finishUnheard(gone.id(), timers.nanos() + silentNanos);
@@ -162,20 +162,20 @@
     /**
      * Takes the changes.
      */
-    public interface Host {
+    public interface Listener {
         /**
          * Takes an upstream that may get work.
          *
          * @param beat its heartbeat
          */
-        void arrived(UpstreamBeat beat);
+        void arrived(UpstreamHeartbeat beat);
 
         /**
          * Takes notice that the upstream must get no more work; it ends what it has.
          *
          * @param beat its newest heartbeat
          */
-        void leaving(UpstreamBeat beat);
+        void leaving(UpstreamHeartbeat beat);
 
         /**
          * Takes notice that nothing was heard of the upstream for too long.
@@ -183,20 +183,20 @@
          * @param beat its newest heartbeat
          * @param silentNanos for how long, in nanoseconds
          */
-        void silent(UpstreamBeat beat, long silentNanos);
+        void silent(UpstreamHeartbeat beat, long silentNanos);
 
         /**
          * Takes notice that nothing listens any more where the upstream did.
          *
          * @param beat its newest heartbeat
          */
-        void absent(UpstreamBeat beat);
+        void absent(UpstreamHeartbeat beat);
 
         /**
          * Takes notice of a heartbeat that came too late to count.
          *
          * @param beat the heartbeat
          */
-        void late(UpstreamBeat beat);
+        void late(UpstreamHeartbeat beat);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamStart.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamStart.java
@@ -7,9 +7,9 @@
  * start tells the two apart.
  *
  * @param id the upstream's id
- * @param bornMillis when it started, in milliseconds since the epoch; empty if it doesn't say
+ * @param startedMillis when it started, in milliseconds since the epoch; empty if it doesn't say
  */
-public record UpstreamStart(String id, OptionalLong bornMillis) {
+public record UpstreamStart(String id, OptionalLong startedMillis) {
     /**
      * Tells whether both starts say when they were, and this one was before the other.
      *
@@ -17,8 +17,8 @@
      * @return whether this one is known to be older
      */
     boolean bornBefore(UpstreamStart other) {
-        return bornMillis.isPresent()
-                && other.bornMillis.isPresent()
-                && bornMillis.getAsLong() < other.bornMillis.getAsLong();
+        return startedMillis.isPresent()
+                && other.startedMillis.isPresent()
+                && startedMillis.getAsLong() < other.startedMillis.getAsLong();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Attempt.java
@@ -62,7 +62,7 @@
             sentTo = newLink.peerIncarnation();
             sentClock = newLink.peerClock();
         }
-        newLink.awaiting(1);
+        newLink.adjustAwaited(1);
         awaited = true;
         this.link = newLink;
     }
@@ -70,7 +70,7 @@
     /** Stops waiting on the link, which stays known. */
     void unbind() {
         if (link != null && awaited) {
-            link.awaiting(-1);
+            link.adjustAwaited(-1);
         }
         awaited = false;
     }
@@ -122,8 +122,8 @@
     void learn(Request request, String pathClass, Message.Report report, long nowNanos) {
         candidate.reported(pathClass, report, nowNanos);
         request.observer().leadsTo(request.service());
-        if (!report.below().service().isEmpty()) {
-            request.observer().leadsTo(report.below().service());
+        if (!report.deeperLevel().service().isEmpty()) {
+            request.observer().leadsTo(report.deeperLevel().service());
         }
     }
 
@@ -148,7 +148,7 @@
      * the others.
      */
     void ended(Dispatcher.Parts parts, Request request) {
-        parts.quarantine().ended(request.content(), candidate.upstream().id());
+        parts.quarantine().recordCrash(request.content(), candidate.upstream().id());
         failed(parts);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -11,11 +11,11 @@
 import org.verbenadyke.kernel.call.RequestId;
 import org.verbenadyke.kernel.call.RetryReason;
 import org.verbenadyke.kernel.call.RunState;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Choice;
 import org.verbenadyke.kernel.routing.RouteQuery;
@@ -33,7 +33,7 @@
     private final Request request;
     private final String pathClass;
     private final AnswerSink sink;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Set<String> tried = new HashSet<>();
     private Attempt current;
     private boolean done;
@@ -136,13 +136,13 @@
                 request.observer().leadsTo(request.service());
                 refuse(RefusalReason.SHED_EARLY);
             }
-            case Choice.Nowhere n -> refuse(RefusalReason.NO_UPSTREAM);
+            case Choice.NoCandidate n -> refuse(RefusalReason.NO_UPSTREAM);
         }
     }
 
     private void open(Attempt attempt) {
         current = attempt;
-        if (parts.quarantine().atEntry(request.content()) instanceof Standing.Held held) {
+        if (parts.quarantine().statusAtEntry(request.content()) instanceof QuarantineStatus.Quarantined held) {
             give(parts.quarantine().refusal(request.id(), held));
             return;
         }
@@ -169,7 +169,7 @@
         if (link.get().closed()) {
             lost(attempt);
         }
-        long patience = dispatcher.settings().tryNanos();
+        long patience = dispatcher.settings().attemptTimeoutNanos();
         if (patience > 0 && request.idempotent()) {
             parts.timers().after(patience, () -> serial.run(() -> tryTimedOut(attempt)));
         }
@@ -196,10 +196,10 @@
         }
         if (RetryRules.shed(m.status())) {
             attempt.candidate().shed(now);
-        } else if (!m.settled()) {
+        } else if (!m.retriesExhausted()) {
             attempt.failed(parts);
         }
-        if (!RetryRules.retryable(request, m, dispatcher.settings().perHop())) {
+        if (!RetryRules.retryable(request, m, dispatcher.settings().retryPerHop())) {
             request.observer().childFailed();
             commit(attempt, m);
             return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/DispatchSettings.java
@@ -3,21 +3,21 @@
 /**
  * How requests are retried.
  *
- * @param ratio retries per success between a pair of services; 0 or less turns the bound off
- * @param burst how many of them can be saved up
- * @param perHop whether each hop retries by itself, as the baseline does
- * @param tryNanos after how long one try counts as lost, in nanoseconds; 0 to wait until the deadline
- * @param everyRetryCounts whether the ratio also bounds the retries after a lost connection
- * @param callsExempt whether calls inside a chain are sent whatever level their upstream reports
+ * @param retryRatio retries per success between a pair of services; 0 or less turns the bound off
+ * @param maxSavedRetries how many of them can be saved up
+ * @param retryPerHop whether each hop retries by itself, as the baseline does
+ * @param attemptTimeoutNanos after how long one try counts as lost, in nanoseconds; 0 to wait until the deadline
+ * @param ratioCoversLostConnections whether the ratio also bounds the retries after a lost connection
+ * @param nestedCallsExempt whether calls inside a chain are sent whatever level their upstream reports
  * @param retryAfterMillis the least time after which a refused caller may come back, in milliseconds
  */
 public record DispatchSettings(
-        double ratio,
-        int burst,
-        boolean perHop,
-        long tryNanos,
-        boolean everyRetryCounts,
-        boolean callsExempt,
+        double retryRatio,
+        int maxSavedRetries,
+        boolean retryPerHop,
+        long attemptTimeoutNanos,
+        boolean ratioCoversLostConnections,
+        boolean nestedCallsExempt,
         long retryAfterMillis) {
     private static final double DEFAULT_RATIO = 0.1;
     private static final int DEFAULT_BURST = 20;
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -15,7 +15,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RetryReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.link.Links;
 import org.verbenadyke.kernel.message.Link;
@@ -107,7 +107,7 @@
      *
      * @return their number
      */
-    public int underWay() {
+    public int inFlight() {
         return attempts.size();
     }
 
@@ -136,7 +136,7 @@
 
     /** The rank that a request is routed by; a call inside a chain passes every level if the settings say so. */
     int rank(Request request) {
-        boolean exempt = settings.callsExempt() && request.depth() > 0;
+        boolean exempt = settings.nestedCallsExempt() && request.depth() > 0;
         if (exempt) {
             return Importance.RANKS;
         }
@@ -163,7 +163,7 @@
         return RetryAfter.spread(settings.retryAfterMillis(), parts.random.get());
     }
 
-    void afterPause(Serial serial, Runnable step) {
+    void afterPause(SerialExecutor serial, Runnable step) {
         parts.timers.after(PAUSE_NANOS, () -> serial.run(step));
     }
 
@@ -179,7 +179,8 @@
 
     RatioBudget ratio(Request request) {
         return ratios.computeIfAbsent(
-                new Pair(request.caller(), request.service()), p -> RatioBudget.of(settings.ratio(), settings.burst()));
+                new Pair(request.caller(), request.service()),
+                p -> RatioBudget.of(settings.retryRatio(), settings.maxSavedRetries()));
     }
 
     private static Optional<CallId> idOf(Message message) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Inquiry.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.metrics.Event;
 import org.verbenadyke.kernel.trace.Decision;
@@ -19,12 +19,16 @@
 
     private final Dispatcher.Parts parts;
     private final Attempt attempt;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final BooleanSupplier wanted;
     private final Consumer<Attempt> lost;
 
     private Inquiry(
-            Dispatcher.Parts parts, Attempt attempt, Serial serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
+            Dispatcher.Parts parts,
+            Attempt attempt,
+            SerialExecutor serial,
+            BooleanSupplier wanted,
+            Consumer<Attempt> lost) {
         this.parts = parts;
         this.attempt = attempt;
         this.serial = serial;
@@ -34,7 +38,11 @@
 
     /** Asks, again and again until a link is had or nobody wants to know any more. */
     static void ask(
-            Dispatcher.Parts parts, Attempt attempt, Serial serial, BooleanSupplier wanted, Consumer<Attempt> lost) {
+            Dispatcher.Parts parts,
+            Attempt attempt,
+            SerialExecutor serial,
+            BooleanSupplier wanted,
+            Consumer<Attempt> lost) {
         parts.counters().count(Event.INQUIRED);
         new Inquiry(parts, attempt, serial, wanted, lost).connect();
     }
@@ -53,7 +61,7 @@
         }
         attempt.bind(link.get());
         parts.decisions()
-                .note(new Decision.FateAsked(
+                .note(new Decision.StatusInquired(
                         attempt.dispatch().requestId(),
                         attempt.id(),
                         attempt.candidate().upstream().id(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryPermit.java
@@ -19,8 +19,8 @@
     static void ask(Dispatcher dispatcher, Request request, RetryReason reason, Consumer<Boolean> decision) {
         RatioBudget ratio = dispatcher.ratio(request);
         boolean lost = reason == RetryReason.CONNECTION_LOST || reason == RetryReason.UPSTREAM_ENDED;
-        boolean counted = dispatcher.settings().everyRetryCounts() || !lost;
-        boolean bounded = dispatcher.settings().ratio() > 0 && counted;
+        boolean counted = dispatcher.settings().ratioCoversLostConnections() || !lost;
+        boolean bounded = dispatcher.settings().retryRatio() > 0 && counted;
         if (bounded && !ratio.take()) {
             dispatcher.parts().counters().retried(RetryReason.DENIED_RATIO);
             decision.accept(false);
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/RetryRules.java
@@ -31,7 +31,7 @@
      * final; only the hop right above a failure retries it.
      */
     static boolean retryable(Request request, Message.Head head, boolean perHop) {
-        boolean settled = head.settled() && !perHop;
+        boolean settled = head.retriesExhausted() && !perHop;
         return request.idempotent() && !settled && head.status() != NOT_IMPLEMENTED && head.status() <= FAILED_MOST;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/Engine.java
@@ -54,7 +54,7 @@
         this.policy = policy;
         this.router = Router.create(
                 parts.nodeId(),
-                parts.place(),
+                parts.location(),
                 policy.subsetSize(),
                 PlugIns.chooser(policy.chooser()),
                 parts.random(),
@@ -87,7 +87,7 @@
                         parts.quarantine()),
                 policy.serve());
         this.keyedBudgets = KeyedBudgets.keeping(policy.keyRetentionNanos());
-        this.keys = KeyTable.keeping(policy.keyRetentionNanos());
+        this.keys = KeyTable.withRetention(policy.keyRetentionNanos());
     }
 
     /**
@@ -120,7 +120,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by
      */
-    public CallHandle enter(Inbound inbound, AnswerSink sink) {
+    public CallHandle submit(InboundRequest inbound, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
         RequestId id = new RequestId(parts.incarnation(), requests.incrementAndGet());
         Configuration config = configuration.get();
@@ -151,7 +151,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by
      */
-    public CallHandle enter(RoutedRequest routed, AnswerSink sink) {
+    public CallHandle submit(RoutedRequest routed, AnswerSink sink) {
         parts.counters().count(Event.REQUEST_IN);
         Route route = routed.route();
         long now = parts.timers().nanos();
@@ -185,7 +185,7 @@
      * @param sink takes its answer
      * @return the handle to steer it by, empty when the call was refused at once
      */
-    public Optional<CallHandle> callFrom(String token, Inbound inbound, AnswerSink sink) {
+    public Optional<CallHandle> submitNested(String token, InboundRequest inbound, AnswerSink sink) {
         Optional<CallContext> context = server.context(token);
         if (context.isEmpty()) {
             parts.counters().refused(RunState.NOT_RUN, RefusalReason.CONTEXT_UNKNOWN);
@@ -247,7 +247,7 @@
      *
      * @param next the configuration; an older version than the one in force is ignored
      */
-    public void configure(Configuration next) {
+    public void applyConfiguration(Configuration next) {
         Configuration before = configuration.getAndUpdate(c -> next.version() > c.version() ? next : c);
         if (next.version() > before.version()) {
             parts.ledger().applied(next.version());
@@ -300,12 +300,12 @@
         return dispatcher;
     }
 
-    private long ttl(Inbound inbound) {
+    private long ttl(InboundRequest inbound) {
         long most = policy.serve().maxTtlNanos();
         return Math.min(most, inbound.ttlNanos().orElse(policy.defaultTtlNanos()));
     }
 
-    private RetryBudget rootBudget(Inbound inbound, RequestId id, Configuration config) {
+    private RetryBudget rootBudget(InboundRequest inbound, RequestId id, Configuration config) {
         if (policy.perHopRetries() > 0) {
             return RootBudget.of(policy.perHopRetries());
         }
@@ -341,14 +341,14 @@
                 case Message.Cancel m -> server.received(link, m);
                 case Message.Grant m -> server.received(link, m);
                 case Message.Inquire m -> server.received(link, m);
-                case Message.KeyAsk m -> parts.keyMessages().accept(link, m);
-                case Message.KeyTold m -> parts.keyMessages().accept(link, m);
-                case Message.KeyHandOn m -> parts.keyMessages().accept(link, m);
-                case Message.KeysHandedOn m -> parts.keyMessages().accept(link, m);
-                case Message.PlanWanted m -> parts.planMessages().accept(link, m);
-                case Message.PlanTold m -> parts.planMessages().accept(link, m);
-                case Message.QuotaAsk m -> parts.quotaMessages().accept(link, m);
-                case Message.QuotaTold m -> parts.quotaMessages().accept(link, m);
+                case Message.KeyQuery m -> parts.keyMessages().accept(link, m);
+                case Message.KeyReply m -> parts.keyMessages().accept(link, m);
+                case Message.KeyTransfer m -> parts.keyMessages().accept(link, m);
+                case Message.KeyTransferEnd m -> parts.keyMessages().accept(link, m);
+                case Message.PlanRequest m -> parts.planMessages().accept(link, m);
+                case Message.PlanReply m -> parts.planMessages().accept(link, m);
+                case Message.QuotaRequest m -> parts.quotaMessages().accept(link, m);
+                case Message.QuotaReply m -> parts.quotaMessages().accept(link, m);
                 default -> dispatcher.received(link, message);
             }
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/EngineParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/EngineParts.java
@@ -10,7 +10,7 @@
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
@@ -20,7 +20,7 @@
  *
  * @param nodeId the node's name
  * @param incarnation drawn anew at each start of the process
- * @param place where the node stands
+ * @param location where the node stands
  * @param timers the time
  * @param transport opens connections to other nodes
  * @param random where each thread's randomness comes from
@@ -36,7 +36,7 @@
 public record EngineParts(
         String nodeId,
         long incarnation,
-        Place place,
+        Location location,
         TimerService timers,
         Transport transport,
         Supplier<RandomGenerator> random,
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/Inbound.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/InboundRequest.java
@@ -12,7 +12,7 @@
  * @param key the idempotency key, empty if none
  * @param ttlNanos how long its caller waits, in nanoseconds, if it said
  */
-public record Inbound(String service, Message.Content content, String key, Optional<Long> ttlNanos) {
+public record InboundRequest(String service, Message.Content content, String key, Optional<Long> ttlNanos) {
     /**
      * Tells whether the request may run more than once, by its method.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -10,7 +10,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.membership.MemberTable;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
@@ -38,7 +38,7 @@
     private final BooleanSupplier equipped;
     private final long startNanos;
     private final AtomicLong followedNanos;
-    private volatile boolean following;
+    private volatile boolean setFollowing;
     private volatile boolean listed;
     private volatile Ranked ranked;
     private long turnTaken = NO_TURN;
@@ -82,7 +82,7 @@
      *
      * @return whether it is, by the members that it knows now
      */
-    public boolean regular() {
+    public boolean designated() {
         MemberRecord me = self.get();
         if (me.state() == MemberState.DRAINING) {
             return false;
@@ -103,7 +103,7 @@
      * @return whether it is one, and has been up for a while
      */
     public boolean reader() {
-        return settled() && regular();
+        return settled() && designated();
     }
 
     /**
@@ -112,14 +112,14 @@
      *
      * @return whether this node is to ask the store
      */
-    public synchronized boolean due() {
+    public synchronized boolean shouldStart() {
         long now = timers.nanos();
-        if (settled() ? regular() : listed) {
+        if (settled() ? designated() : listed) {
             return true;
         }
         long patience = equipped.getAsBoolean() ? settings.patienceNanos() : settings.firstPatienceNanos();
         long over = Math.min(now - followedNanos.get(), now - startNanos) - patience;
-        if (following || over < 0) {
+        if (setFollowing || over < 0) {
             turnTaken = NO_TURN;
             return false;
         }
@@ -143,11 +143,11 @@
      *
      * @param now whether it has
      */
-    public void following(boolean now) {
+    public void setFollowing(boolean now) {
         if (now) {
             note(timers.nanos());
         }
-        following = now;
+        setFollowing = now;
     }
 
     /**
@@ -165,7 +165,7 @@
      * @return milliseconds, at most {@link #NEVER_MILLIS}
      */
     public int ageMillis() {
-        if (following) {
+        if (setFollowing) {
             return 0;
         }
         long millis = (timers.nanos() - followedNanos.get()) / NANOS_PER_MILLI;
@@ -174,7 +174,7 @@
 
     private boolean rankedHigh(MemberRecord me) {
         List<MemberRecord> present = table.present();
-        Set<Place> places = new HashSet<>(Set.of(me.place()));
+        Set<Location> places = new HashSet<>(Set.of(me.place()));
         present.forEach(r -> places.add(r.place()));
         int rank = MemberRank.of(
                 me.nodeId(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Breach.java
@@ -3,8 +3,8 @@
 /**
  * A promise that was not kept.
  *
- * @param promise which one
+ * @param invariant which one
  * @param subject the request, call or version concerned
  * @param history what was noted of it, oldest first
  */
-public record Breach(Promise promise, String subject, String history) {}
+public record Breach(Promise invariant, String subject, String history) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/ledger/Ledger.java
@@ -32,7 +32,7 @@
      *
      * @return the ledger
      */
-    public static Ledger off() {
+    public static Ledger disabled() {
         return new Ledger(false, b -> {});
     }
 
@@ -42,7 +42,7 @@
      * @param listener is told of each breach
      * @return the ledger
      */
-    public static Ledger watching(Consumer<Breach> listener) {
+    public static Ledger reportingTo(Consumer<Breach> listener) {
         return new Ledger(true, listener);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkPool.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Counters;
@@ -172,7 +172,7 @@
      */
     private final class Slot implements LinkOwner {
         private final Endpoint endpoint;
-        private final Serial serial = Serial.create();
+        private final SerialExecutor serial = SerialExecutor.create();
         private final List<Consumer<Optional<Link>>> takers = new ArrayList<>();
         private LinkSession opening;
         private volatile LinkSession open;
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void awaiting(int more) {
+    public void adjustAwaited(int more) {
         awaited.addAndGet(more);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
@@ -16,7 +16,7 @@
      * @param record the record
      * @param taker is told once what came of it
      */
-    void append(String stream, String key, byte[] record, Consumer<Appended> taker);
+    void append(String stream, String key, byte[] record, Consumer<AppendResult> taker);
 
     /**
      * Reads records.
@@ -26,7 +26,7 @@
      * @param waitMillis how long to wait for a record when there is none yet, in milliseconds
      * @param taker is told once what was read
      */
-    void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker);
+    void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker);
 
     /**
      * Subscribes to the news that the log lost what it had acknowledged, since its history was replaced by an older
@@ -40,33 +40,33 @@
     /**
      * What came of an append.
      */
-    sealed interface Appended {
+    sealed interface AppendResult {
         /**
          * The record is on the log.
          *
          * @param offset its offset
          */
-        record At(long offset) implements Appended {}
+        record At(long offset) implements AppendResult {}
 
         /**
          * The record may be on the log or not.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Unknown(String why) implements Appended {}
+        record Unknown(String reason) implements AppendResult {}
 
         /**
          * The record is not on the log.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Failed(String why) implements Appended {}
+        record Failed(String reason) implements AppendResult {}
     }
 
     /**
      * What came of a read.
      */
-    sealed interface Read {
+    sealed interface ReadResult {
         /**
          * Records were read, perhaps none.
          *
@@ -75,7 +75,8 @@
          * @param records the records in order
          * @param complete whether nothing more stood on the log when it was read; false if that isn't known
          */
-        record Records(long firstOffset, long nextOffset, List<LogRecord> records, boolean complete) implements Read {
+        record Records(long firstOffset, long nextOffset, List<LogRecord> records, boolean complete)
+                implements ReadResult {
             /**
              * Creates a page of which isn't known whether it is the last.
              *
@@ -91,9 +92,9 @@
         /**
          * Nothing could be read.
          *
-         * @param why what went wrong
+         * @param reason what went wrong
          */
-        record Failed(String why) implements Read {}
+        record Failed(String reason) implements ReadResult {}
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/AntiEntropy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/AntiEntropy.java
@@ -56,7 +56,7 @@
             List<MemberRecord> part = differing.subList(i, Math.min(differing.size(), i + MAX_RECORDS));
             port.accept(from, new GossipMessage.Records(List.copyOf(part)));
         }
-        if (theirs.answer()) {
+        if (theirs.replyRequested()) {
             port.accept(from, buckets(false));
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-import org.verbenadyke.kernel.concurrent.Serial;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
-import org.verbenadyke.kernel.quarantine.UpstreamEnd;
+import org.verbenadyke.kernel.quarantine.UpstreamCrash;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
 
@@ -36,19 +36,19 @@
     private final String self;
     private final TimerService timers;
     private final GossipSettings settings;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final MemberTable table;
     private final PeerSelector peers;
     private final Quarantine quarantine;
     private final BiConsumer<Endpoint, GossipMessage> port;
-    private final List<UpstreamEnd> unsent = new ArrayList<>();
+    private final List<UpstreamCrash> unsent = new ArrayList<>();
     private long comparedNanos;
 
     CrashGossip(
             String self,
             Gossip.Parts parts,
             GossipSettings settings,
-            Serial serial,
+            SerialExecutor serial,
             PeerSelector peers,
             BiConsumer<Endpoint, GossipMessage> port) {
         this.self = self;
@@ -68,12 +68,12 @@
     }
 
     /** Passes the crash reports of another node to the quarantine. */
-    void receive(GossipMessage.Ends message) {
+    void receive(GossipMessage.CrashReports message) {
         long now = timers.nanos();
-        for (EndReport r : message.reports()) {
+        for (CrashReport r : message.reports()) {
             long at = now - r.ageMillis() * NANOS_PER_MILLI;
             r.requests()
-                    .forEach(d -> quarantine.hear(new UpstreamEnd(d, r.upstream(), r.cleared(), at, message.from())));
+                    .forEach(d -> quarantine.hear(new UpstreamCrash(d, r.upstream(), r.cleared(), at, message.from())));
         }
     }
 
@@ -84,7 +84,7 @@
         long now = timers.nanos();
         if (theirs != quarantine.fingerprint() && now - comparedNanos >= MIN_COMPARE_INTERVAL_NANOS) {
             comparedNanos = now;
-            datagrams(quarantine.ends(MAX_COMPARED)).forEach(m -> port.accept(from, m));
+            datagrams(quarantine.crashes(MAX_COMPARED)).forEach(m -> port.accept(from, m));
         }
     }
 
@@ -96,7 +96,7 @@
         quarantine.sweep();
     }
 
-    private void queue(UpstreamEnd crash) {
+    private void queue(UpstreamCrash crash) {
         unsent.add(crash);
         if (unsent.size() == 1) {
             timers.after(settings.pushNanos(), () -> serial.run(this::push));
@@ -104,31 +104,31 @@
     }
 
     private void push() {
-        List<GossipMessage.Ends> messages = datagrams(unsent);
+        List<GossipMessage.CrashReports> messages = datagrams(unsent);
         unsent.clear();
         peers.draw(table.present(), settings.fanOut())
                 .forEach(r -> messages.forEach(m -> port.accept(r.endpoint(), m)));
     }
 
     /** Formats crashes as datagrams of a bounded size, those of one upstream together. */
-    private List<GossipMessage.Ends> datagrams(List<UpstreamEnd> crashes) {
-        List<GossipMessage.Ends> datagrams = new ArrayList<>();
+    private List<GossipMessage.CrashReports> datagrams(List<UpstreamCrash> crashes) {
+        List<GossipMessage.CrashReports> datagrams = new ArrayList<>();
         for (int i = 0; i < crashes.size(); i += MAX_DIGESTS) {
-            List<UpstreamEnd> part = crashes.subList(i, Math.min(crashes.size(), i + MAX_DIGESTS));
-            datagrams.add(new GossipMessage.Ends(self, reports(part)));
+            List<UpstreamCrash> part = crashes.subList(i, Math.min(crashes.size(), i + MAX_DIGESTS));
+            datagrams.add(new GossipMessage.CrashReports(self, reports(part)));
         }
         return datagrams;
     }
 
-    private List<EndReport> reports(List<UpstreamEnd> crashes) {
+    private List<CrashReport> reports(List<UpstreamCrash> crashes) {
         long now = timers.nanos();
-        Map<Group, EndReport> byUpstream = new LinkedHashMap<>();
-        for (UpstreamEnd c : crashes) {
+        Map<Group, CrashReport> byUpstream = new LinkedHashMap<>();
+        for (UpstreamCrash c : crashes) {
             int age = (int) ((now - c.atNanos()) / NANOS_PER_MILLI);
             byUpstream
                     .computeIfAbsent(
                             new Group(c.upstream(), c.cleared()),
-                            g -> new EndReport(g.upstream(), g.cleared(), age, new ArrayList<RequestDigest>()))
+                            g -> new CrashReport(g.upstream(), g.cleared(), age, new ArrayList<RequestDigest>()))
                     .requests()
                     .add(c.request());
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
@@ -20,7 +20,7 @@
 
     private final TimerService timers;
     private final GossipSettings settings;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final MemberTable table;
     private final PeerSelector peers;
     private final Host host;
@@ -32,7 +32,7 @@
     FailureDetector(
             TimerService timers,
             GossipSettings settings,
-            Serial serial,
+            SerialExecutor serial,
             MemberTable table,
             PeerSelector peers,
             Host host) {
@@ -90,7 +90,7 @@
         Optional.ofNullable(checks.remove(ticket)).ifPresent(c -> c.timeout().cancel());
         GossipMessage.Probe probe = probes.remove(ticket);
         if (probe != null) {
-            host.send(probe.asker(), new GossipMessage.ProbeAck(probe.ticket()));
+            host.send(probe.requester(), new GossipMessage.ProbeAck(probe.ticket()));
         }
     }
 
@@ -100,7 +100,7 @@
         if (!same || known.state() != MemberState.ALIVE && known.state() != MemberState.DRAINING) {
             return;
         }
-        MemberRecord suspected = known.in(MemberState.SUSPECT, timers.wallMillis());
+        MemberRecord suspected = known.withState(MemberState.SUSPECT, timers.wallMillis());
         if (known.state() == MemberState.ALIVE) {
             host.learn(suspected);
         }
@@ -130,7 +130,7 @@
             timers.after(settings.suspectNanos(), () -> serial.run(() -> recheck(suspected)));
             return;
         }
-        host.learn(known.get().in(MemberState.DEAD, timers.wallMillis()));
+        host.learn(known.get().withState(MemberState.DEAD, timers.wallMillis()));
     }
 
     /** Checks a suspected node again that was not declared dead because too many others seemed to fail with it. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.config.ConfigState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
@@ -32,7 +32,7 @@
     private final MemberTable table;
     private final FailureDetector detector;
     private final AntiEntropy antiEntropy;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final RumorQueue rumors;
     private final CrashGossip crashGossip;
     private final Set<Endpoint> seeds = new HashSet<>();
@@ -148,7 +148,7 @@
         serial.run(() -> {
             Optional<ConfigState> state = listener.config();
             state.ifPresent(s -> peers.draw(table.present(), settings.fanOut())
-                    .forEach(r -> send(r.endpoint(), new GossipMessage.ConfigNews(s))));
+                    .forEach(r -> send(r.endpoint(), new GossipMessage.ConfigUpdate(s))));
         });
     }
 
@@ -173,28 +173,28 @@
     private void handle(Endpoint from, GossipMessage message) {
         switch (message) {
             case GossipMessage.Rumor m -> {
-                m.news().forEach(this::learn);
+                m.updates().forEach(this::learn);
                 if (m.ticket() != NO_TICKET) {
                     send(from, new GossipMessage.Ack(self().nodeId(), m.ticket(), view(), rumors.next()));
-                } else if (m.view().planVersion() < listener.planVersion()) {
+                } else if (m.summary().planVersion() < listener.planVersion()) {
                     // A starting node gets its routes after one round trip, not at the next round 250 ms later.
                     send(from, rumor(NO_TICKET));
                 }
-                compare(from, m.view());
+                compare(from, m.summary());
             }
             case GossipMessage.Ack m -> {
-                m.news().forEach(this::learn);
+                m.updates().forEach(this::learn);
                 detector.answered(m.ticket());
-                compare(from, m.view());
+                compare(from, m.summary());
             }
             case GossipMessage.Probe m -> detector.probe(m);
             case GossipMessage.ProbeAck m -> detector.answered(m.ticket());
             case GossipMessage.Buckets m -> antiEntropy.sendDifferences(from, m);
-            case GossipMessage.Ends m -> crashGossip.receive(m);
+            case GossipMessage.CrashReports m -> crashGossip.receive(m);
             case GossipMessage.Records m -> m.records().forEach(this::learn);
-            case GossipMessage.ConfigWanted m ->
-                listener.config().ifPresent(s -> send(from, new GossipMessage.ConfigNews(s)));
-            case GossipMessage.ConfigNews m -> listener.configReceived(m.state());
+            case GossipMessage.ConfigRequest m ->
+                listener.config().ifPresent(s -> send(from, new GossipMessage.ConfigUpdate(s)));
+            case GossipMessage.ConfigUpdate m -> listener.configReceived(m.state());
         }
     }
 
@@ -254,8 +254,8 @@
         return new GossipMessage.Rumor(self().nodeId(), ticket, view(), rumors.next());
     }
 
-    private GossipMessage.View view() {
-        return new GossipMessage.View(
+    private GossipMessage.Summary view() {
+        return new GossipMessage.Summary(
                 table.digest(),
                 listener.config().map(ConfigState::version).orElse(-1L),
                 listener.planVersion(),
@@ -263,16 +263,16 @@
                 crashGossip.fingerprint());
     }
 
-    private void compare(Endpoint from, GossipMessage.View theirs) {
-        listener.followerAgeReceived(theirs.followedMillis());
+    private void compare(Endpoint from, GossipMessage.Summary theirs) {
+        listener.followerAgeReceived(theirs.followerAgeMillis());
         if (theirs.configVersion() > listener.config().map(ConfigState::version).orElse(-1L)) {
-            send(from, new GossipMessage.ConfigWanted(self().nodeId()));
+            send(from, new GossipMessage.ConfigRequest(self().nodeId()));
         }
         if (theirs.planVersion() > listener.planVersion()) {
             listener.newerPlanFound(from);
         }
         antiEntropy.compareDigest(from, theirs.digest());
-        crashGossip.compareFingerprint(from, theirs.endsFingerprint());
+        crashGossip.compareFingerprint(from, theirs.crashesFingerprint());
     }
 
     private void send(Endpoint to, GossipMessage message) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.verbenadyke.kernel.config.ConfigState;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
@@ -15,30 +15,30 @@
      *
      * @param from the sender's name
      * @param ticket identifies the message; 0 if no answer is requested
-     * @param view a summary of what the sender knows
-     * @param news records that changed recently
+     * @param summary a summary of what the sender knows
+     * @param updates records that changed recently
      */
-    record Rumor(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
+    record Rumor(String from, long ticket, Summary summary, List<MemberRecord> updates) implements GossipMessage {}
 
     /**
      * Answers a {@link Rumor}.
      *
      * @param from the sender's name
      * @param ticket the rumor's ticket
-     * @param view a summary of what the sender knows
-     * @param news records that changed recently
+     * @param summary a summary of what the sender knows
+     * @param updates records that changed recently
      */
-    record Ack(String from, long ticket, View view, List<MemberRecord> news) implements GossipMessage {}
+    record Ack(String from, long ticket, Summary summary, List<MemberRecord> updates) implements GossipMessage {}
 
     /**
      * Requests that the receiver check a third node.
      *
      * @param from the sender's name
      * @param ticket identifies the check
-     * @param asker where the requesting node listens
+     * @param requester where the requesting node listens
      * @param target where the third node listens
      */
-    record Probe(String from, long ticket, Endpoint asker, Endpoint target) implements GossipMessage {}
+    record Probe(String from, long ticket, Endpoint requester, Endpoint target) implements GossipMessage {}
 
     /**
      * Reports that the third node answered.
@@ -51,10 +51,10 @@
      * Carries the bucket digests of a table that differs from the receiver's.
      *
      * @param from the sender's name
-     * @param answer whether the receiver should send its own digests back
+     * @param replyRequested whether the receiver should send its own digests back
      * @param digests one hash per bucket
      */
-    record Buckets(String from, boolean answer, List<Long> digests) implements GossipMessage {}
+    record Buckets(String from, boolean replyRequested, List<Long> digests) implements GossipMessage {}
 
     /**
      * Carries records of buckets that differ.
@@ -68,14 +68,14 @@
      *
      * @param from the sender's name
      */
-    record ConfigWanted(String from) implements GossipMessage {}
+    record ConfigRequest(String from) implements GossipMessage {}
 
     /**
      * Carries the configuration.
      *
      * @param state the configuration and its position on the log
      */
-    record ConfigNews(ConfigState state) implements GossipMessage {}
+    record ConfigUpdate(ConfigState state) implements GossipMessage {}
 
     /**
      * Reports crashes of upstreams and the requests in flight at each crash.
@@ -83,7 +83,7 @@
      * @param from the sender's name
      * @param reports all reports that the sender knows, or a part of them
      */
-    record Ends(String from, List<EndReport> reports) implements GossipMessage {}
+    record CrashReports(String from, List<CrashReport> reports) implements GossipMessage {}
 
     /**
      * A summary of what a node knows, used to detect differences.
@@ -91,8 +91,8 @@
      * @param digest a hash of the node's member table
      * @param configVersion the version of the node's configuration
      * @param planVersion the version of the node's routes, -1 if it has none
-     * @param followedMillis the age of the newest known follower heartbeat, in milliseconds
-     * @param endsFingerprint a hash of the crashes that the node knows of
+     * @param followerAgeMillis the age of the newest known follower heartbeat, in milliseconds
+     * @param crashesFingerprint a hash of the crashes that the node knows of
      */
-    record View(long digest, long configVersion, long planVersion, int followedMillis, long endsFingerprint) {}
+    record Summary(long digest, long configVersion, long planVersion, int followerAgeMillis, long crashesFingerprint) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.routing.Upstream;
 
@@ -28,7 +28,7 @@
         MemberState state,
         Endpoint endpoint,
         Endpoint control,
-        Place place,
+        Location place,
         String service,
         long changedMillis,
         int epoch) {
@@ -55,7 +55,7 @@
      * @param nowMillis the wall clock's time, in milliseconds since the epoch
      * @return the record, with the same version
      */
-    public MemberRecord in(MemberState newState, long nowMillis) {
+    public MemberRecord withState(MemberState newState, long nowMillis) {
         return new MemberRecord(
                 nodeId, incarnation, version, newState, endpoint, control, place, service, nowMillis, epoch);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Selects the receivers of gossip: mostly nodes of the same data centre, sometimes one of another.
@@ -13,10 +13,10 @@
     private static final int REMOTE_ONE_IN = 4;
 
     private final String self;
-    private final Place place;
+    private final Location place;
     private final RandomGenerator random;
 
-    PeerSelector(String self, Place place, RandomGenerator random) {
+    PeerSelector(String self, Location place, RandomGenerator random) {
         this.self = self;
         this.place = place;
         this.random = random;
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Link.java
@@ -33,7 +33,7 @@
      *
      * @param more 1 or -1
      */
-    void awaiting(int more);
+    void adjustAwaited(int more);
 
     /**
      * Tells whether the link has ended.
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RequestId;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * The messages between two nodes on one connection.
@@ -75,12 +75,12 @@
      * @param ticket joins the answer to the question
      * @param node the name of the node that asks
      * @param team the team
-     * @param held permits that the node holds
+     * @param leased permits that the node holds
      * @param returned permits that it gives back unused
      * @param needed permits for requests that wait
-     * @param wanted permits that it would like, those needed among them
+     * @param requested permits that it would like, those needed among them
      */
-    record QuotaAsk(long ticket, String node, String team, int held, int returned, int needed, int wanted)
+    record QuotaRequest(long ticket, String node, String team, int leased, int returned, int needed, int requested)
             implements Message {}
 
     /**
@@ -88,11 +88,13 @@
      *
      * @param ticket joins the answer to the question
      * @param team the team
-     * @param dealt whether the sender deals the team's permits now; else it must be asked again, or another node
+     * @param fromAllocator whether the sender deals the team's permits now; else it must be asked again, or another
+     *     node
      * @param granted permits for the node that asked
-     * @param afterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
+     * @param availableAfterMillis after how long another is free for it, in milliseconds; 0 if it got all that it needs
      */
-    record QuotaTold(long ticket, String team, boolean dealt, int granted, long afterMillis) implements Message {}
+    record QuotaReply(long ticket, String team, boolean fromAllocator, int granted, long availableAfterMillis)
+            implements Message {}
 
     /**
      * What an upstream gets.
@@ -125,16 +127,16 @@
      * @param level the admission level of the node itself
      * @param directLevel the same for requests that come from callers and not from another upstream
      * @param draining whether the upstream is leaving
-     * @param below what it knows of the services that were called for the answer
+     * @param deeperLevel what it knows of the services that were called for the answer
      */
-    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, Below below) {
+    record Report(int inFlight, int limit, int level, int directLevel, boolean draining, DeeperLevel deeperLevel) {
         /**
          * Returns the level of the call's path from the node down.
          *
          * @return the rank below which calls are refused
          */
         public int pathLevel() {
-            return Math.max(level, below.level());
+            return Math.max(level, deeperLevel.level());
         }
     }
 
@@ -145,9 +147,9 @@
      * @param level the rank below which it refuses calls
      * @param ageMillis how long ago that was so, in milliseconds
      */
-    record Below(String service, int level, int ageMillis) {
+    record DeeperLevel(String service, int level, int ageMillis) {
         /** No service was called. */
-        public static final Below NOTHING = new Below("", 0, 0);
+        public static final DeeperLevel NONE = new DeeperLevel("", 0, 0);
     }
 
     /**
@@ -156,10 +158,11 @@
      * @param id the attempt
      * @param status the HTTP status
      * @param headers the header fields
-     * @param settled whether a failure was already retried as far as it may be, deeper in the chain
+     * @param retriesExhausted whether a failure was already retried as far as it may be, deeper in the chain
      * @param report the state of the answering node
      */
-    record Head(CallId id, int status, List<HeaderField> headers, boolean settled, Report report) implements Message {}
+    record Head(CallId id, int status, List<HeaderField> headers, boolean retriesExhausted, Report report)
+            implements Message {}
 
     /**
      * A fragment of an answer's body.
@@ -224,29 +227,30 @@
      * reaches back to when it was sent, seals its id.
      *
      * @param id the attempt
-     * @param sentTo the incarnation of the process that it was sent to
-     * @param sentClock the newest clock which that process had lent when it was sent, in its nanoseconds
+     * @param targetIncarnation the incarnation of the process that it was sent to
+     * @param targetClock the newest clock which that process had lent when it was sent, in its nanoseconds
      */
-    record Inquire(CallId id, long sentTo, long sentClock) implements Message {}
+    record Inquire(CallId id, long targetIncarnation, long targetClock) implements Message {}
 
     /**
      * Asks a former owner of a key what it knows of it. A former owner that knows nothing gives the key up for good.
      *
      * @param ticket numbers the question
-     * @param asked the id of the former owner; another upstream at its address can't answer for it
-     * @param asker the id of the upstream that owns the key now
-     * @param vouch whether the former owner is also to say that nobody before it ran the key
+     * @param formerOwner the id of the former owner; another upstream at its address can't answer for it
+     * @param newOwner the id of the upstream that owns the key now
+     * @param vouchForPredecessors whether the former owner is also to say that nobody before it ran the key
      * @param key the key
      */
-    record KeyAsk(long ticket, String asked, String asker, boolean vouch, String key) implements Message {}
+    record KeyQuery(long ticket, String formerOwner, String newOwner, boolean vouchForPredecessors, String key)
+            implements Message {}
 
     /**
-     * Answers {@link KeyAsk}, once the key's outcome is known.
+     * Answers {@link KeyQuery}, once the key's outcome is known.
      *
      * @param ticket the question
      * @param fact what the former owner knows
      */
-    record KeyTold(long ticket, KeyFact fact) implements Message {}
+    record KeyReply(long ticket, KeyFact fact) implements Message {}
 
     /**
      * Hands a settled key on, from a node that stops as planned.
@@ -255,34 +259,34 @@
      * @param fingerprint a hash of what its try asked for
      * @param outcome its outcome
      */
-    record KeyHandOn(String key, long fingerprint, KeptAnswer outcome) implements Message {}
+    record KeyTransfer(String key, long fingerprint, StoredOutcome outcome) implements Message {}
 
     /**
      * Says that an upstream has handed on all its keys.
      *
      * @param upstream the upstream's id
      */
-    record KeysHandedOn(String upstream) implements Message {}
+    record KeyTransferEnd(String upstream) implements Message {}
 
     /** Asks for the routes that the other node has. */
-    record PlanWanted() implements Message {}
+    record PlanRequest() implements Message {}
 
     /**
      * Tells the routes that a node has in force, as their operator wrote them.
      *
      * @param document the document
      */
-    record PlanTold(byte[] document) implements Message {}
+    record PlanReply(byte[] document) implements Message {}
 
     /**
      * What a former owner knows of a key.
      */
     sealed interface KeyFact {
         /** It never ran the key and won't any more. */
-        record Unknown() implements KeyFact {}
+        record NeverRan() implements KeyFact {}
 
         /** It can't tell, since it was itself not sure of the owners before it. */
-        record Unsure() implements KeyFact {}
+        record Undetermined() implements KeyFact {}
 
         /**
          * It ran the key.
@@ -290,6 +294,6 @@
          * @param fingerprint a hash of what the try asked for
          * @param outcome the outcome
          */
-        record Known(long fingerprint, KeptAnswer outcome) implements KeyFact {}
+        record Known(long fingerprint, StoredOutcome outcome) implements KeyFact {}
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
@@ -25,7 +25,7 @@
      * @param retentionNanos how long a key is kept, in nanoseconds
      * @return the table
      */
-    public static KeyTable keeping(long retentionNanos) {
+    public static KeyTable withRetention(long retentionNanos) {
         return new KeyTable(retentionNanos);
     }
 
@@ -68,7 +68,7 @@
      * @param key the key
      * @param outcome what the waiting tries are told
      */
-    public void withdraw(String key, KeptAnswer outcome) {
+    public void withdraw(String key, StoredOutcome outcome) {
         Optional.ofNullable(entries.remove(key)).ifPresent(e -> e.finish(outcome, e.changed));
     }
 
@@ -79,7 +79,7 @@
      * @param outcome the outcome that all later tries get
      * @param nowNanos the time
      */
-    public void settle(String key, KeptAnswer outcome, long nowNanos) {
+    public void settle(String key, StoredOutcome outcome, long nowNanos) {
         Optional.ofNullable(entries.get(key)).ifPresent(e -> e.finish(outcome, nowNanos));
     }
 
@@ -91,7 +91,7 @@
      * @param outcome its outcome
      * @param nowNanos the time
      */
-    public void adopt(String key, long fingerprint, KeptAnswer outcome, long nowNanos) {
+    public void adopt(String key, long fingerprint, StoredOutcome outcome, long nowNanos) {
         Entry entry = new Entry(fingerprint, nowNanos);
         entry.finish(outcome, nowNanos);
         entries.merge(key, entry, (known, adopted) -> known.sealed ? adopted : known);
@@ -153,7 +153,7 @@
      * @param fingerprint a hash of what its try asked for
      * @param outcome calls back once, at once when the outcome is known
      */
-    public record Known(String key, long fingerprint, Consumer<Consumer<KeptAnswer>> outcome) {}
+    public record Known(String key, long fingerprint, Consumer<Consumer<StoredOutcome>> outcome) {}
 
     /**
      * What came of a claim.
@@ -167,7 +167,7 @@
          *
          * @param outcome calls back once with that try's outcome, at once when it is known
          */
-        record Taken(Consumer<Consumer<KeptAnswer>> outcome) implements Claim {}
+        record Taken(Consumer<Consumer<StoredOutcome>> outcome) implements Claim {}
 
         /** The key was used for something else. */
         record Reused() implements Claim {}
@@ -182,9 +182,9 @@
     private static final class Entry {
         private final long fingerprint;
         private final boolean sealed;
-        private final List<Consumer<KeptAnswer>> waiting = new ArrayList<>();
+        private final List<Consumer<StoredOutcome>> waiting = new ArrayList<>();
         private long changed;
-        private KeptAnswer outcome;
+        private StoredOutcome outcome;
 
         private Entry(long fingerprint, long now) {
             this(fingerprint, now, false);
@@ -200,7 +200,7 @@
             return new Entry(0, now, true);
         }
 
-        void whenDone(Consumer<KeptAnswer> listener) {
+        void whenDone(Consumer<StoredOutcome> listener) {
             synchronized (this) {
                 if (outcome == null) {
                     waiting.add(listener);
@@ -210,8 +210,8 @@
             listener.accept(outcome);
         }
 
-        void finish(KeptAnswer answer, long now) {
-            List<Consumer<KeptAnswer>> told;
+        void finish(StoredOutcome answer, long now) {
+            List<Consumer<StoredOutcome>> told;
             synchronized (this) {
                 if (outcome != null) {
                     return;
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/SeenCalls.java
@@ -56,7 +56,7 @@
      *
      * @param id the attempt
      */
-    public void neverRuns(CallId id) {
+    public void markNeverRuns(CallId id) {
         generations.get().current().neverRuns(id);
     }
 
@@ -77,7 +77,7 @@
      * @param nanos the time, on the local clock
      * @return whether an id that isn't known has not arrived since then
      */
-    public boolean reachesBackTo(long nanos) {
+    public boolean coversSince(long nanos) {
         return generations.get().previous().reachesBackTo(nanos);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeptAnswer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/StoredOutcome.java
@@ -9,7 +9,7 @@
 /**
  * The outcome of a call that may run only once, kept for whoever asks again.
  */
-public sealed interface KeptAnswer {
+public sealed interface StoredOutcome {
     /**
      * The upstream answered, and the answer is whole.
      *
@@ -17,21 +17,21 @@
      * @param headers the header fields
      * @param body the body
      */
-    record Whole(int status, List<HeaderField> headers, byte[] body) implements KeptAnswer {}
+    record CompleteAnswer(int status, List<HeaderField> headers, byte[] body) implements StoredOutcome {}
 
     /**
      * There is no answer to give.
      *
      * @param refusal what is known instead
      */
-    record Lost(Refusal refusal) implements KeptAnswer {}
+    record NoAnswer(Refusal refusal) implements StoredOutcome {}
 
     /**
      * Returns the whole answer.
      *
      * @return the answer, if it was kept
      */
-    default Optional<Whole> whole() {
-        return this instanceof Whole w ? Optional.of(w) : Optional.empty();
+    default Optional<CompleteAnswer> completeAnswer() {
+        return this instanceof CompleteAnswer w ? Optional.of(w) : Optional.empty();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -69,11 +69,11 @@
             return;
         }
         if (isolated.getAsBoolean()) {
-            taker.accept(new Outcome.Elsewhere());
+            taker.accept(new Outcome.OwnedElsewhere());
             return;
         }
         switch (view.of(local, key)) {
-            case Ownership.Elsewhere e -> taker.accept(new Outcome.Elsewhere());
+            case Ownership.Elsewhere e -> taker.accept(new Outcome.OwnedElsewhere());
             case Ownership.Uncertain u -> taker.accept(new Outcome.Uncertain());
             case Ownership.Owned o ->
                 askAll(o, key, local, certain -> taker.accept(claimed(local, key, fingerprint, certain)));
@@ -96,12 +96,12 @@
      */
     public void received(Link link, Message message, Optional<LocalUpstream> local) {
         switch (message) {
-            case Message.KeyAsk m -> answer(link, m, local);
-            case Message.KeyTold m ->
+            case Message.KeyQuery m -> answer(link, m, local);
+            case Message.KeyReply m ->
                 Optional.ofNullable(asked.remove(m.ticket())).ifPresent(c -> c.accept(Optional.of(m.fact())));
-            case Message.KeyHandOn m ->
+            case Message.KeyTransfer m ->
                 local.ifPresent(l -> l.keys().adopt(m.key(), m.fingerprint(), m.outcome(), timers.nanos()));
-            case Message.KeysHandedOn m -> view.handedOn(m.upstream());
+            case Message.KeyTransferEnd m -> view.handedOn(m.upstream());
             default -> throw new IllegalArgumentException(message.getClass().getSimpleName());
         }
     }
@@ -112,15 +112,15 @@
      * @param local the upstream beside this node
      * @param heirs the upstreams of the service that go on
      */
-    public void handOn(LocalUpstream local, List<Upstream> heirs) {
+    public void transferKeys(LocalUpstream local, List<Upstream> heirs) {
         List<KeyTable.Known> known = local.keys().known();
         for (Upstream heir : heirs) {
             links.acquire(
                     heir.node(),
                     link -> link.ifPresent(l -> {
                         known.forEach(k -> k.outcome()
-                                .accept(kept -> l.send(new Message.KeyHandOn(k.key(), k.fingerprint(), kept))));
-                        l.send(new Message.KeysHandedOn(local.id()));
+                                .accept(kept -> l.send(new Message.KeyTransfer(k.key(), k.fingerprint(), kept))));
+                        l.send(new Message.KeyTransferEnd(local.id()));
                     }));
         }
     }
@@ -153,8 +153,8 @@
             return false;
         }
         return switch (fact.get()) {
-            case Message.KeyFact.Unknown u -> true;
-            case Message.KeyFact.Unsure u -> false;
+            case Message.KeyFact.NeverRan u -> true;
+            case Message.KeyFact.Undetermined u -> false;
             case Message.KeyFact.Known k -> {
                 local.keys().adopt(key, k.fingerprint(), k.outcome(), timers.nanos());
                 yield true;
@@ -170,31 +170,31 @@
                 () -> Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty())));
         links.acquire(question.upstream().node(), link -> {
             if (link.isPresent()) {
-                link.get().send(new Message.KeyAsk(ticket, question.upstream().id(), asker, question.vouch(), key));
+                link.get().send(new Message.KeyQuery(ticket, question.upstream().id(), asker, question.vouch(), key));
                 return;
             }
             Optional.ofNullable(asked.remove(ticket)).ifPresent(c -> c.accept(Optional.empty()));
         });
     }
 
-    private void answer(Link link, Message.KeyAsk ask, Optional<LocalUpstream> local) {
+    private void answer(Link link, Message.KeyQuery ask, Optional<LocalUpstream> local) {
         // An upstream that came after the one asked knows none of its keys: taken for proof, that runs a key again.
-        if (local.map(l -> !l.id().equals(ask.asked())).orElse(true)) {
-            link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Unsure()));
+        if (local.map(l -> !l.id().equals(ask.formerOwner())).orElse(true)) {
+            link.send(new Message.KeyReply(ask.ticket(), new Message.KeyFact.Undetermined()));
             return;
         }
         LocalUpstream l = local.get();
         Optional<KeyTable.Known> surrendered = l.keys().surrender(ask.key(), timers.nanos());
         if (surrendered.isEmpty()) {
-            boolean unsure = ask.vouch() && view.unsure(l, ask.asker(), ask.key());
-            Message.KeyFact fact = unsure ? new Message.KeyFact.Unsure() : new Message.KeyFact.Unknown();
-            link.send(new Message.KeyTold(ask.ticket(), fact));
+            boolean unsure = ask.vouchForPredecessors() && view.unsure(l, ask.newOwner(), ask.key());
+            Message.KeyFact fact = unsure ? new Message.KeyFact.Undetermined() : new Message.KeyFact.NeverRan();
+            link.send(new Message.KeyReply(ask.ticket(), fact));
             return;
         }
         KeyTable.Known k = surrendered.get();
         k.outcome()
-                .accept(kept ->
-                        link.send(new Message.KeyTold(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
+                .accept(kept -> link.send(
+                        new Message.KeyReply(ask.ticket(), new Message.KeyFact.Known(k.fingerprint(), kept))));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -71,7 +71,7 @@
     public Ownership of(LocalUpstream local, String key) {
         String service = local.service();
         String me = local.id();
-        long mySinceNanos = local.sinceNanos();
+        long mySinceNanos = local.acceptingSinceNanos();
         List<MemberRecord> present = table.present().stream()
                 .filter(r -> r.service().equals(service))
                 .toList();
@@ -118,8 +118,8 @@
      * @return whether a doubt is left
      */
     public boolean unsure(LocalUpstream local, String asker, String key) {
-        boolean fresh = timers.nanos() - local.sinceNanos() < settings.keyRetentionNanos()
-                && !madeAfter(key, local.sinceNanos());
+        boolean fresh = timers.nanos() - local.acceptingSinceNanos() < settings.keyRetentionNanos()
+                && !madeAfter(key, local.acceptingSinceNanos());
         return fresh || otherOwner(local, asker, key) || departedOwner(local.service(), local.id(), key);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Plan.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlan.java
@@ -14,7 +14,7 @@
  * @param consequences what follows from it, one line each
  * @param risks what needs an explicit consent, one line each
  */
-public record Plan(
+public record ChangePlan(
         String id,
         long base,
         Configuration next,
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/Planner.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/ChangePlanner.java
@@ -15,7 +15,7 @@
 /**
  * Turns intents into a plan.
  */
-public final class Planner {
+public final class ChangePlanner {
     private static final double LOAD_HIGH = 0.8;
     private static final int PERCENT = 100;
     private static final String ANY = "*";
@@ -27,7 +27,7 @@
     private final List<String> consequences = new ArrayList<>();
     private final List<String> risks = new ArrayList<>();
 
-    private Planner(String id, Configuration base, List<ServiceView> services) {
+    private ChangePlanner(String id, Configuration base, List<ServiceView> services) {
         this.id = id;
         this.base = base;
         this.services = services;
@@ -41,10 +41,10 @@
      * @param intents what is wanted
      * @param services what is known of the services
      * @return the plan
-     * @throws PlanProblems with every intent that is wrong
+     * @throws InvalidIntentsException with every intent that is wrong
      */
-    public static Plan plan(String id, Configuration base, Intents intents, List<ServiceView> services) {
-        return new Planner(id, base, services).plan(intents);
+    public static ChangePlan plan(String id, Configuration base, Intents intents, List<ServiceView> services) {
+        return new ChangePlanner(id, base, services).plan(intents);
     }
 
     /**
@@ -56,13 +56,13 @@
      * @param services what is known of the services
      * @return the plan, for a new version
      */
-    public static Plan undo(String id, Configuration base, Configuration earlier, List<ServiceView> services) {
-        Planner planner = new Planner(id, base, services);
+    public static ChangePlan undo(String id, Configuration base, Configuration earlier, List<ServiceView> services) {
+        ChangePlanner planner = new ChangePlanner(id, base, services);
         return planner.toward(
                 new Configuration(base.version() + 1, earlier.retries(), earlier.rules(), earlier.leaving()));
     }
 
-    private Plan plan(Intents intents) {
+    private ChangePlan plan(Intents intents) {
         int retries = intents.retries().orElse(base.retries());
         if (retries < 0 || retries > Configuration.RETRIES_MOST) {
             problem(ErrorCode.INTENT_OUT_OF_BOUNDS, "retries", retries, "0 to " + Configuration.RETRIES_MOST);
@@ -87,19 +87,19 @@
             leaving.add(node);
         });
         if (!problems.isEmpty()) {
-            throw PlanProblems.of(problems);
+            throw InvalidIntentsException.of(problems);
         }
         return toward(new Configuration(base.version() + 1, retries, List.copyOf(rules), Set.copyOf(leaving)));
     }
 
-    private Plan toward(Configuration next) {
+    private ChangePlan toward(Configuration next) {
         List<String> differences = Differences.between(base, next);
         shadows(next.rules());
         services.forEach(s -> capacity(s, next));
         if (differences.isEmpty()) {
             consequences.add("nothing changes");
         }
-        return new Plan(id, base.version(), next, differences, List.copyOf(consequences), List.copyOf(risks));
+        return new ChangePlan(id, base.version(), next, differences, List.copyOf(consequences), List.copyOf(risks));
     }
 
     private void shadows(List<ImportanceRule> rules) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/plan/PlanProblems.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/plan/InvalidIntentsException.java
@@ -5,12 +5,12 @@
 /**
  * Thrown when intents can't be planned; carries every problem found.
  */
-public final class PlanProblems extends RuntimeException {
+public final class InvalidIntentsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final List<String> problems;
 
-    private PlanProblems(List<String> problems) {
+    private InvalidIntentsException(List<String> problems) {
         super(String.join(System.lineSeparator(), problems));
         this.problems = List.copyOf(problems);
     }
@@ -21,8 +21,8 @@
      * @param problems each with its code and remedy
      * @return the exception, to be thrown
      */
-    public static PlanProblems of(List<String> problems) {
-        return new PlanProblems(problems);
+    public static InvalidIntentsException of(List<String> problems) {
+        return new InvalidIntentsException(problems);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/EndReport.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/CrashReport.java
@@ -10,4 +10,4 @@
  * @param ageMillis how long ago the upstream ended, in milliseconds
  * @param requests what it had
  */
-public record EndReport(String upstream, boolean cleared, int ageMillis, List<RequestDigest> requests) {}
+public record CrashReport(String upstream, boolean cleared, int ageMillis, List<RequestDigest> requests) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -45,7 +45,7 @@
     /** How many suspects have each path, so that the bodies of most requests needn't be read. */
     private final Map<Integer, Integer> targets = new ConcurrentHashMap<>();
 
-    private volatile Consumer<UpstreamEnd> news = end -> {};
+    private volatile Consumer<UpstreamCrash> news = end -> {};
     private volatile Consumer<RequestDigest> heldNews = request -> {};
     private volatile boolean changed = true;
     private volatile long fingerprint;
@@ -89,7 +89,7 @@
      *
      * @param listener takes each new end, and each that has been cleared
      */
-    public void onNews(Consumer<UpstreamEnd> listener) {
+    public void onNews(Consumer<UpstreamCrash> listener) {
         news = listener;
     }
 
@@ -109,14 +109,14 @@
      * @param request the request
      * @return the record, empty if nothing is known of it any more
      */
-    public Optional<HeldRequest> record(RequestDigest request) {
+    public Optional<QuarantinedRequest> record(RequestDigest request) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
         return Optional.ofNullable(suspects.get(request))
-                .map(s -> new HeldRequest(
+                .map(s -> new QuarantinedRequest(
                         request,
                         s.ends().stream()
-                                .map(e -> new HeldRequest.End(
+                                .map(e -> new QuarantinedRequest.Crash(
                                         e.upstream(), e.cleared(), wall - (now - e.atNanos()) / NANOS_PER_MILLI))
                                 .toList()));
     }
@@ -138,12 +138,12 @@
      *
      * @param held the record
      */
-    public void restore(HeldRequest held) {
+    public void restore(QuarantinedRequest held) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
-        for (HeldRequest.End e : held.ends()) {
+        for (QuarantinedRequest.Crash e : held.crashes()) {
             long age = Math.max(0, wall - e.atMillis()) * NANOS_PER_MILLI;
-            hear(new UpstreamEnd(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
+            hear(new UpstreamCrash(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
         }
     }
 
@@ -153,8 +153,8 @@
      * @param content the request
      * @param upstream the id of the upstream
      */
-    public void ended(Message.Content content, String upstream) {
-        ended(RequestDigest.of(content), upstream);
+    public void recordCrash(Message.Content content, String upstream) {
+        recordCrash(RequestDigest.of(content), upstream);
     }
 
     /**
@@ -163,8 +163,8 @@
      * @param request the request
      * @param upstream the id of the upstream
      */
-    public void ended(RequestDigest request, String upstream) {
-        hear(new UpstreamEnd(request, upstream, false, timers.nanos(), ""));
+    public void recordCrash(RequestDigest request, String upstream) {
+        hear(new UpstreamCrash(request, upstream, false, timers.nanos(), ""));
     }
 
     /**
@@ -172,7 +172,7 @@
      *
      * @param content the request
      */
-    public void answered(Message.Content content) {
+    public void recordAnswer(Message.Content content) {
         Optional<Suspect> suspect = find(content);
         if (suspect.isEmpty()) {
             return;
@@ -190,7 +190,7 @@
      *
      * @param end the end
      */
-    public void hear(UpstreamEnd end) {
+    public void hear(UpstreamCrash end) {
         if (timers.nanos() - end.atNanos() > settings.keptNanos()) {
             return;
         }
@@ -200,7 +200,7 @@
             Suspect with = before.with(end);
             fresh[0] = with != before;
             if (known == null) {
-                targets.merge(request.target(), 1, Integer::sum);
+                targets.merge(request.pathHash(), 1, Integer::sum);
             }
             return with;
         });
@@ -224,7 +224,7 @@
      * @param content the request
      * @return held back, or free
      */
-    public Standing atEntry(Message.Content content) {
+    public QuarantineStatus statusAtEntry(Message.Content content) {
         return standing(content, false);
     }
 
@@ -234,7 +234,7 @@
      * @param content the request
      * @return its standing there
      */
-    public Standing atUpstream(Message.Content content) {
+    public QuarantineStatus statusAtUpstream(Message.Content content) {
         return standing(content, true);
     }
 
@@ -257,9 +257,9 @@
      * @param held its standing
      * @return the refusal; this try has not run
      */
-    public Refusal refusal(RequestId chain, Standing.Held held) {
+    public Refusal refusal(RequestId chain, QuarantineStatus.Quarantined held) {
         long millis = held.nanos() / NANOS_PER_MILLI + 1;
-        decisions.note(new Decision.HeldBack(chain, held.request(), millis, held.evidence()));
+        decisions.note(new Decision.QuarantineRefused(chain, held.request(), millis, held.evidence()));
         return Refusal.notRun(RefusalReason.QUARANTINED, millis);
     }
 
@@ -283,7 +283,7 @@
      * @param most how many ends at most
      * @return the ends
      */
-    public List<UpstreamEnd> ends(int most) {
+    public List<UpstreamCrash> crashes(int most) {
         return suspects.values().stream()
                 .sorted(Comparator.comparingInt(Suspect::standing)
                         .thenComparingLong(Suspect::newestNanos)
@@ -326,22 +326,23 @@
         return Optional.ofNullable(suspects.get(RequestDigest.of(content)));
     }
 
-    private Standing standing(Message.Content content, boolean besideUpstream) {
+    private QuarantineStatus standing(Message.Content content, boolean besideUpstream) {
         Optional<Suspect> suspect = find(content);
         if (suspect.isEmpty() || suspect.get().standing() < settings.aloneFrom()) {
-            return Standing.FREE;
+            return QuarantineStatus.UNRESTRICTED;
         }
-        return held(suspect.get()) ? heldStanding(suspect.get(), besideUpstream) : Standing.ALONE;
+        return held(suspect.get()) ? heldStanding(suspect.get(), besideUpstream) : QuarantineStatus.SOLE_SUSPECT;
     }
 
-    private Standing heldStanding(Suspect suspect, boolean besideUpstream) {
+    private QuarantineStatus heldStanding(Suspect suspect, boolean besideUpstream) {
         long now = timers.nanos();
         long left = heldUntil(suspect) - now;
         boolean may = left <= 0 && (!besideUpstream || trials.here(suspect.request(), turn(suspect)));
         if (may) {
-            return Standing.ALONE;
+            return QuarantineStatus.SOLE_SUSPECT;
         }
-        return new Standing.Held(suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
+        return new QuarantineStatus.Quarantined(
+                suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
     }
 
     private boolean held(Suspect suspect) {
@@ -363,7 +364,7 @@
 
     private void forget(RequestDigest request) {
         if (suspects.remove(request) != null) {
-            targets.computeIfPresent(request.target(), (t, n) -> n == 1 ? null : n - 1);
+            targets.computeIfPresent(request.pathHash(), (t, n) -> n == 1 ? null : n - 1);
             changed = true;
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Standing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/QuarantineStatus.java
@@ -3,18 +3,18 @@
 /**
  * How a request stands, by what is known of the upstreams that ended while they had it.
  */
-public sealed interface Standing {
+public sealed interface QuarantineStatus {
     /** The standing of nearly all requests. */
-    Standing FREE = new Free();
+    QuarantineStatus UNRESTRICTED = new Unrestricted();
 
     /** The standing of a request that must have no other suspect beside it. */
-    Standing ALONE = new Alone();
+    QuarantineStatus SOLE_SUSPECT = new SoleSuspect();
 
     /** Nothing, or too little, is known against it. */
-    record Free() implements Standing {}
+    record Unrestricted() implements QuarantineStatus {}
 
     /** It may run, but at no upstream beside another suspect, so that an end shows which of them it was. */
-    record Alone() implements Standing {}
+    record SoleSuspect() implements QuarantineStatus {}
 
     /**
      * It must not run now.
@@ -23,5 +23,5 @@
      * @param nanos after how long it may be tried again, in nanoseconds
      * @param evidence the ends in words: which, how long ago, told by whom
      */
-    record Held(RequestDigest request, long nanos, String evidence) implements Standing {}
+    record Quarantined(RequestDigest request, long nanos, String evidence) implements QuarantineStatus {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/HeldRequest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/QuarantinedRequest.java
@@ -6,9 +6,9 @@
  * A request that is or was held back, as it is kept on the log, so that it outlives all nodes.
  *
  * @param request what it asks for
- * @param ends the upstreams that ended while they had it
+ * @param crashes the upstreams that ended while they had it
  */
-public record HeldRequest(RequestDigest request, List<End> ends) {
+public record QuarantinedRequest(RequestDigest request, List<Crash> crashes) {
     /**
      * Returns the key under which the newest record is kept.
      *
@@ -26,5 +26,5 @@
      * @param atMillis when the upstream ended, in milliseconds since the epoch; nodes that lived then may be gone, and
      *     their monotonic clocks with them
      */
-    public record End(String upstream, boolean cleared, long atMillis) {}
+    public record Crash(String upstream, boolean cleared, long atMillis) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/RequestDigest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/RequestDigest.java
@@ -18,11 +18,11 @@
  * <p>128 bits of SHA-256: with a shorter or unkeyed fast hash a caller could find a request of its own that bears the
  * digest of another caller's and get that one refused.
  *
- * @param target a short hash of the path, to rule out most requests without reading their bodies
+ * @param pathHash a short hash of the path, to rule out most requests without reading their bodies
  * @param high the upper half of the digest
  * @param low the lower half of the digest
  */
-public record RequestDigest(int target, long high, long low) {
+public record RequestDigest(int pathHash, long high, long low) {
     /** The fields that tell whom and for whom a request asks. */
     private static final Set<String> IDENTITY = Set.of("host", "authorization", "api-key", "cookie");
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Suspect.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Suspect.java
@@ -15,9 +15,9 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final RequestDigest request;
-    private final Map<String, UpstreamEnd> ends;
+    private final Map<String, UpstreamCrash> ends;
 
-    private Suspect(RequestDigest request, Map<String, UpstreamEnd> ends) {
+    private Suspect(RequestDigest request, Map<String, UpstreamCrash> ends) {
         this.request = request;
         this.ends = ends;
     }
@@ -32,17 +32,17 @@
     }
 
     /** Returns this suspect with one more end, itself if that is no news. */
-    Suspect with(UpstreamEnd end) {
-        UpstreamEnd known = ends.get(end.upstream());
+    Suspect with(UpstreamCrash end) {
+        UpstreamCrash known = ends.get(end.upstream());
         if (known != null && (known.cleared() || !end.cleared())) {
             return this;
         }
-        Map<String, UpstreamEnd> more = new HashMap<>(ends);
+        Map<String, UpstreamCrash> more = new HashMap<>(ends);
         more.put(end.upstream(), known == null ? end : known.clear());
         return new Suspect(request, Map.copyOf(more));
     }
 
-    Collection<UpstreamEnd> ends() {
+    Collection<UpstreamCrash> ends() {
         return ends.values();
     }
 
@@ -53,20 +53,20 @@
 
     /** Tells whether this node saw one of the ends itself. */
     boolean seenHere() {
-        return ends.values().stream().anyMatch(e -> e.toldBy().isEmpty());
+        return ends.values().stream().anyMatch(e -> e.reportedBy().isEmpty());
     }
 
     /** Returns the time of the newest end of those. */
     long newestStandingNanos() {
         return ends.values().stream()
                 .filter(e -> !e.cleared())
-                .mapToLong(UpstreamEnd::atNanos)
+                .mapToLong(UpstreamCrash::atNanos)
                 .max()
                 .orElse(Long.MIN_VALUE);
     }
 
     long newestNanos() {
-        return ends.values().stream().mapToLong(UpstreamEnd::atNanos).max().orElse(Long.MIN_VALUE);
+        return ends.values().stream().mapToLong(UpstreamCrash::atNanos).max().orElse(Long.MIN_VALUE);
     }
 
     /** Returns a hash that is the same on all nodes that know the same. */
@@ -81,7 +81,7 @@
         return ends.values().stream()
                 .filter(e -> !e.cleared())
                 .map(e -> e.upstream() + " " + (nowNanos - e.atNanos()) / NANOS_PER_MILLI + " ms ago, "
-                        + (e.toldBy().isEmpty() ? "seen here" : "told by " + e.toldBy()))
+                        + (e.reportedBy().isEmpty() ? "seen here" : "told by " + e.reportedBy()))
                 .sorted()
                 .collect(Collectors.joining("; "));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/UpstreamEnd.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/UpstreamCrash.java
@@ -7,10 +7,10 @@
  * @param upstream the id of the upstream's start that ended
  * @param cleared whether the request has been answered since, so that it was not the cause
  * @param atNanos when the upstream ended, on the local clock in nanoseconds
- * @param toldBy the node that told this one, empty for what was seen here
+ * @param reportedBy the node that told this one, empty for what was seen here
  */
-public record UpstreamEnd(RequestDigest request, String upstream, boolean cleared, long atNanos, String toldBy) {
-    UpstreamEnd clear() {
-        return new UpstreamEnd(request, upstream, true, atNanos, toldBy);
+public record UpstreamCrash(RequestDigest request, String upstream, boolean cleared, long atNanos, String reportedBy) {
+    UpstreamCrash clear() {
+        return new UpstreamCrash(request, upstream, true, atNanos, reportedBy);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/LeasedPermits.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/LeasedPermits.java
@@ -24,7 +24,7 @@
     private static final double LOW_SHARE = 0.34;
 
     private final QuotaSettings settings;
-    private final Deque<TeamLimiter.Taker> waiting = new ArrayDeque<>();
+    private final Deque<TeamLimiter.AdmissionCallback> waiting = new ArrayDeque<>();
     private int leased;
     private long expiresNanos;
     private int toReturn;
@@ -65,7 +65,7 @@
         }
     }
 
-    void enqueue(TeamLimiter.Taker callback, long now) {
+    void enqueue(TeamLimiter.AdmissionCallback callback, long now) {
         if (waiting.isEmpty()) {
             waitingSinceNanos = now;
         }
@@ -144,8 +144,8 @@
     }
 
     /** Removes as many waiting requests as there are permits, and returns them as admitted. */
-    List<TeamLimiter.Taker> admitWaiting() {
-        List<TeamLimiter.Taker> admitted = new ArrayList<>();
+    List<TeamLimiter.AdmissionCallback> admitWaiting() {
+        List<TeamLimiter.AdmissionCallback> admitted = new ArrayList<>();
         while (leased > 0 && !waiting.isEmpty()) {
             leased--;
             admitted.add(waiting.poll());
@@ -154,8 +154,8 @@
     }
 
     /** Removes and returns all waiting requests. */
-    List<TeamLimiter.Taker> removeWaiting() {
-        List<TeamLimiter.Taker> all = List.copyOf(waiting);
+    List<TeamLimiter.AdmissionCallback> removeWaiting() {
+        List<TeamLimiter.AdmissionCallback> all = List.copyOf(waiting);
         waiting.clear();
         return all;
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -69,7 +69,7 @@
      * @param team the team
      * @param callback called, now or soon, with the decision
      */
-    public void admit(Team team, Taker callback) {
+    public void admit(Team team, AdmissionCallback callback) {
         if (team.limit().isEmpty()) {
             callback.admitted();
             return;
@@ -99,17 +99,17 @@
      *
      * @param team the request's team
      */
-    public void giveBack(Team team) {
+    public void returnPermit(Team team) {
         LeasedPermits p = permits.get(team.name());
         if (p == null || team.limit().isEmpty()) {
             return;
         }
-        List<Taker> admitted;
+        List<AdmissionCallback> admitted;
         synchronized (p) {
             p.returnPermit(parts.timers().nanos());
             admitted = p.admitWaiting();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
     }
 
     /**
@@ -120,21 +120,23 @@
      */
     public void received(Link link, Message message) {
         switch (message) {
-            case Message.QuotaAsk m -> {
-                Demand demand = new Demand(m.held(), m.returned(), m.needed(), m.wanted());
+            case Message.QuotaRequest m -> {
+                Demand demand = new Demand(m.leased(), m.returned(), m.needed(), m.requested());
                 Optional<Allocation> allocation = allocator.allocate(m.node(), m.team(), demand);
-                link.send(new Message.QuotaTold(
+                link.send(new Message.QuotaReply(
                         m.ticket(),
                         m.team(),
                         allocation.isPresent(),
                         allocation.map(Allocation::granted).orElse(0),
                         allocation.map(Allocation::nextPermitMillis).orElse(0L)));
             }
-            case Message.QuotaTold m ->
+            case Message.QuotaReply m ->
                 onAllocation(
                         m.team(),
                         m.ticket(),
-                        m.dealt() ? Optional.of(new Allocation(m.granted(), m.afterMillis())) : Optional.empty());
+                        m.fromAllocator()
+                                ? Optional.of(new Allocation(m.granted(), m.availableAfterMillis()))
+                                : Optional.empty());
             default -> throw new IllegalArgumentException("not a message about permits: " + message);
         }
     }
@@ -167,7 +169,7 @@
             onAllocation(team, ticket, Optional.empty());
             return;
         }
-        Message.QuotaAsk request = new Message.QuotaAsk(
+        Message.QuotaRequest request = new Message.QuotaRequest(
                 ticket, parts.self(), team, demand.leased(), demand.returned(), demand.needed(), demand.wanted());
         parts.sender().send(node.get(), request, () -> onAllocation(team, ticket, Optional.empty()));
     }
@@ -179,8 +181,8 @@
             return;
         }
         long now = parts.timers().nanos();
-        List<Taker> admitted;
-        List<Taker> refused = List.of();
+        List<AdmissionCallback> admitted;
+        List<AdmissionCallback> refused = List.of();
         boolean waiting;
         long nextPermitMillis = allocation.map(Allocation::nextPermitMillis).orElse(RETRY_NANOS / NANOS_PER_MILLI);
         synchronized (p) {
@@ -201,7 +203,7 @@
             }
             waiting = p.hasWaiting();
         }
-        admitted.forEach(Taker::admitted);
+        admitted.forEach(AdmissionCallback::admitted);
         Refusal refusal = allocation.isPresent() ? rateLimited(nextPermitMillis) : uncertain();
         refused.forEach(t -> t.refused(refusal));
         if (waiting) {
@@ -214,7 +216,7 @@
         if (p == null) {
             return;
         }
-        List<Taker> refused;
+        List<AdmissionCallback> refused;
         synchronized (p) {
             if (!p.isPending(ticket)) {
                 return;
@@ -262,7 +264,7 @@
     /**
      * Receives the decision on a request.
      */
-    public interface Taker {
+    public interface AdmissionCallback {
         /** Called when the request is admitted. */
         void admitted();
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanDocument.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanDocument.java
@@ -6,4 +6,4 @@
  * @param version the plan's version
  * @param bytes the document
  */
-public record PlanDocument(long version, byte[] bytes) {}
+public record RoutePlanDocument(long version, byte[] bytes) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanReader.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanReader.java
@@ -4,7 +4,7 @@
  * Reads an operator's document.
  */
 @FunctionalInterface
-public interface PlanReader {
+public interface RoutePlanReader {
     /**
      * Reads a document.
      *
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/PlanKeeper.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RoutePlanStore.java
@@ -14,16 +14,16 @@
  * Holds the plan in force. A version only ever gives way to a higher one, whether it comes from the operators' store or
  * from another node; a document that can't be used leaves the last plan in force. Safe for many threads.
  */
-public final class PlanKeeper {
+public final class RoutePlanStore {
     /** The version while no plan is known. */
-    public static final long NONE = -1;
+    public static final long NO_VERSION = -1;
 
-    private final PlanReader reader;
+    private final RoutePlanReader reader;
     private final Counters counters;
     private final Listener listener;
     private final AtomicReference<Held> held = new AtomicReference<>();
 
-    private PlanKeeper(PlanReader reader, Counters counters, Listener listener) {
+    private RoutePlanStore(RoutePlanReader reader, Counters counters, Listener listener) {
         this.reader = reader;
         this.counters = counters;
         this.listener = listener;
@@ -37,8 +37,8 @@
      * @param listener takes what becomes of each document
      * @return the keeper
      */
-    public static PlanKeeper create(PlanReader reader, Counters counters, Listener listener) {
-        return new PlanKeeper(reader, counters, listener);
+    public static RoutePlanStore create(RoutePlanReader reader, Counters counters, Listener listener) {
+        return new RoutePlanStore(reader, counters, listener);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return the keeper
      */
-    public static PlanKeeper absent() {
-        return new PlanKeeper(
+    public static RoutePlanStore disabled() {
+        return new RoutePlanStore(
                 document -> {
                     throw unreadable("this node is not given routes");
                 },
@@ -89,19 +89,19 @@
      *
      * @return the document, empty before the first
      */
-    public Optional<PlanDocument> document() {
+    public Optional<RoutePlanDocument> document() {
         return Optional.ofNullable(held.get())
-                .map(h -> new PlanDocument(h.plan().version(), h.bytes()));
+                .map(h -> new RoutePlanDocument(h.plan().version(), h.bytes()));
     }
 
     /**
      * Returns the version in force.
      *
-     * @return the version, {@link #NONE} before the first
+     * @return the version, {@link #NO_VERSION} before the first
      */
     public long version() {
         Held h = held.get();
-        return h == null ? NONE : h.plan().version();
+        return h == null ? NO_VERSION : h.plan().version();
     }
 
     /**
@@ -130,7 +130,7 @@
         Held before = held.getAndUpdate(h -> h == null || h.plan().version() < plan.version() ? next : h);
         if (held.get() == next && before != next) {
             counters.count(Event.CONFIG_APPLIED);
-            listener.applied(plan, before == null ? NONE : before.plan().version(), source);
+            listener.applied(plan, before == null ? NO_VERSION : before.plan().version(), source);
         }
     }
 
@@ -157,7 +157,7 @@
          * Takes a plan that came in force.
          *
          * @param plan the plan
-         * @param before the version it replaced, {@link #NONE} if it is the first
+         * @param before the version it replaced, {@link #NO_VERSION} if it is the first
          * @param source where it came from
          */
         void applied(RoutePlan plan, long before, String source);
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/SplitCursor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/TrafficSplitter.java
@@ -9,7 +9,7 @@
  * node: drawn at random, a tenth share would stray by several hundredths over some hundred requests; dealt along a
  * sequence that fills the interval evenly, it strays by one or two requests. Safe for many threads.
  */
-public final class SplitCursor {
+public final class TrafficSplitter {
     /** The golden ratio's fraction in 32 bits; its multiples spread evenly over the interval at every length. */
     private static final int STEP = 0x9E3779B9;
 
@@ -19,7 +19,7 @@
     private final Map<String, AtomicInteger> positions = new ConcurrentHashMap<>();
     private final int start;
 
-    private SplitCursor(int start) {
+    private TrafficSplitter(int start) {
         this.start = start;
     }
 
@@ -29,8 +29,8 @@
      * @param start where every route's sequence begins; nodes should begin at different places
      * @return the cursor
      */
-    public static SplitCursor startingAt(int start) {
-        return new SplitCursor(start);
+    public static TrafficSplitter startingAt(int start) {
+        return new TrafficSplitter(start);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -71,7 +71,7 @@
      * @return the candidate
      */
     public static Candidate of(Upstream upstream, boolean near) {
-        return new Candidate(upstream, near, ServiceLevels.unknown());
+        return new Candidate(upstream, near, ServiceLevels.empty());
     }
 
     /** Creates a candidate that passes on what its node reports of the levels of services. */
@@ -263,7 +263,7 @@
      * @param typicalNanos the latency that stands in while none was seen
      * @return the time from now, in nanoseconds
      */
-    public double expectedNanos(double typicalNanos) {
+    public double expectedLatencyNanos(double typicalNanos) {
         double u = utilisation();
         double filling = 1 + FILLING_WEIGHT * u * u * u + WAITING_WEIGHT * Math.max(0, u - 1);
         double seen = latencyNanos == 0 ? typicalNanos : latencyNanos;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
@@ -19,5 +19,5 @@
     record Shed(int level) implements Choice {}
 
     /** No upstream may take the call. */
-    record Nowhere() implements Choice {}
+    record NoCandidate() implements Choice {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ExpectedFinishProvider.java
@@ -34,7 +34,7 @@
         double typical = typical(fit);
         Candidate a = SpareRoom.draw(fit, random);
         Candidate b = SpareRoom.drawOther(fit, a, random);
-        Candidate sooner = a.expectedNanos(typical) <= b.expectedNanos(typical) ? a : b;
+        Candidate sooner = a.expectedLatencyNanos(typical) <= b.expectedLatencyNanos(typical) ? a : b;
         return Optional.of(NearFirst.instead(sooner, fit, typical, random));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Place.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Location.java
@@ -6,11 +6,11 @@
  * @param region the region
  * @param dataCentre the data centre
  */
-public record Place(String region, String dataCentre) {
+public record Location(String region, String dataCentre) {
     // Written out: derived ones are generated at their first use, which costs a process that starts much time.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Place o && region.equals(o.region) && dataCentre.equals(o.dataCentre);
+        return other instanceof Location o && region.equals(o.region) && dataCentre.equals(o.dataCentre);
     }
 
     @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/NearFirst.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/NearFirst.java
@@ -40,7 +40,7 @@
         }
         Candidate other = SpareRoom.draw(near, random);
         double room = (FULL - other.utilisation()) / (FULL - ROOM);
-        boolean soon = other.expectedNanos(typical) <= LONGER_MOST * chosen.expectedNanos(typical);
+        boolean soon = other.expectedLatencyNanos(typical) <= LONGER_MOST * chosen.expectedLatencyNanos(typical);
         return soon && random.nextDouble() < room ? other : chosen;
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -23,17 +23,17 @@
     private static final double WEIGHT_ELSEWHERE = 0.05;
 
     private final String self;
-    private final Place place;
+    private final Location place;
     private final int subsetSize;
     private final Chooser chooser;
     private final Supplier<RandomGenerator> random;
     private final boolean sheds;
-    private final ServiceLevels levels = ServiceLevels.unknown();
+    private final ServiceLevels levels = ServiceLevels.empty();
     private final AtomicReference<Map<String, Routes>> table = new AtomicReference<>(Map.of());
 
     private Router(
             String self,
-            Place place,
+            Location place,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
@@ -59,7 +59,7 @@
      */
     public static Router create(
             String self,
-            Place place,
+            Location place,
             int subsetSize,
             Chooser chooser,
             Supplier<RandomGenerator> random,
@@ -91,7 +91,7 @@
     public Choice route(RouteQuery query, long nowNanos) {
         Routes routes = table.get().get(query.service());
         if (routes == null) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!query.key().isEmpty()) {
             return toOwner(routes, query, nowNanos);
@@ -101,7 +101,7 @@
             accepting = accepting(List.copyOf(routes.all.values()), query);
         }
         if (accepting.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         if (!sheds) {
             return chosen(accepting);
@@ -136,7 +136,7 @@
                 .toList();
         Optional<Candidate> owner = Rendezvous.owner(ids, query.key()).map(routes.all::get);
         if (owner.isEmpty()) {
-            return new Choice.Nowhere();
+            return new Choice.NoCandidate();
         }
         int level = Math.max(owner.get().level(now), levels.below(query.service(), query.pathClass(), now));
         if (sheds && query.rank() < level) {
@@ -162,7 +162,7 @@
     private Choice chosen(List<Candidate> candidates) {
         return chooser.choose(candidates, random.get())
                 .<Choice>map(Choice.To::new)
-                .orElseGet(Choice.Nowhere::new);
+                .orElseGet(Choice.NoCandidate::new);
     }
 
     private static List<Candidate> accepting(List<Candidate> candidates, RouteQuery query) {
@@ -199,7 +199,7 @@
                     u.id(),
                     known != null && known.upstream().equals(u)
                             ? known
-                            : Candidate.telling(u, u.place().equals(place), levels));
+                            : Candidate.telling(u, u.location().equals(place), levels));
         }
         List<Candidate> subset = Rendezvous.subset(upstreams, self, this::weight, subsetSize).stream()
                 .map(u -> all.get(u.id()))
@@ -208,10 +208,10 @@
     }
 
     private double weight(Upstream upstream) {
-        if (upstream.place().equals(place)) {
+        if (upstream.location().equals(place)) {
             return WEIGHT_SAME_DATA_CENTRE;
         }
-        return upstream.place().region().equals(place.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
+        return upstream.location().region().equals(place.region()) ? WEIGHT_SAME_REGION : WEIGHT_ELSEWHERE;
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/ServiceLevels.java
@@ -36,7 +36,7 @@
      *
      * @return the levels
      */
-    public static ServiceLevels unknown() {
+    public static ServiceLevels empty() {
         return new ServiceLevels();
     }
 
@@ -50,7 +50,7 @@
      */
     void heard(Upstream upstream, String pathClass, Message.Report report, long nowNanos) {
         services.put(upstream.service(), lowest(upstream, report.level(), nowNanos));
-        Message.Below told = report.below();
+        Message.DeeperLevel told = report.deeperLevel();
         if (told.service().isEmpty()) {
             return;
         }
@@ -83,8 +83,8 @@
      * @param nowNanos the time
      * @return the one that refuses most
      */
-    public Message.Below highest(Collection<String> called, long nowNanos) {
-        Message.Below highest = Message.Below.NOTHING;
+    public Message.DeeperLevel strictestLevel(Collection<String> called, long nowNanos) {
+        Message.DeeperLevel highest = Message.DeeperLevel.NONE;
         int most = -1;
         for (String service : called) {
             SeenLevel seen = services.getOrDefault(service, SeenLevel.NONE);
@@ -92,7 +92,7 @@
             if (level > most) {
                 most = level;
                 int ageMillis = (int) Math.min(AGE_MOST_MILLIS, (nowNanos - seen.at()) / MILLI);
-                highest = new Message.Below(service, seen.rank(), ageMillis);
+                highest = new Message.DeeperLevel(service, seen.rank(), ageMillis);
             }
         }
         return highest;
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Upstream.java
@@ -6,9 +6,9 @@
  * @param id the name; it changes when the node beside it restarts
  * @param service the service it serves
  * @param node where the node beside it listens
- * @param place where it stands
+ * @param location where it stands
  */
-public record Upstream(String id, String service, Endpoint node, Place place) {
+public record Upstream(String id, String service, Endpoint node, Location location) {
     // Written out: derived ones are generated at their first use, which costs a process that starts much time.
     @Override
     public boolean equals(Object other) {
@@ -16,11 +16,11 @@
                 && id.equals(o.id)
                 && service.equals(o.service)
                 && node.equals(o.node)
-                && place.equals(o.place);
+                && location.equals(o.location);
     }
 
     @Override
     public int hashCode() {
-        return 31 * (31 * (31 * id.hashCode() + service.hashCode()) + node.hashCode()) + place.hashCode();
+        return 31 * (31 * (31 * id.hashCode() + service.hashCode()) + node.hashCode()) + location.hashCode();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/AnswerWriter.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.call.RunState;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Writes one answer to the node above: in fragments as the caller allows them, or, for a call that may run only once,
@@ -74,7 +74,7 @@
     }
 
     /** Sends the outcome of another try as this one's answer. */
-    void whole(KeptAnswer.Whole whole, Link link, Message.Report report) {
+    void whole(StoredOutcome.CompleteAnswer whole, Link link, Message.Report report) {
         head = new Message.Head(id, whole.status(), whole.headers(), true, report);
         kept.writeBytes(whole.body());
         complete = true;
@@ -86,16 +86,16 @@
         if (!complete || !keeping) {
             return false;
         }
-        head = new Message.Head(id, head.status(), head.headers(), head.settled(), report.get());
+        head = new Message.Head(id, head.status(), head.headers(), head.retriesExhausted(), report.get());
         sendKept(link);
         return true;
     }
 
-    KeptAnswer kept() {
+    StoredOutcome kept() {
         if (!complete || !keeping) {
-            return new KeptAnswer.Lost(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
+            return new StoredOutcome.NoAnswer(new Refusal(RunState.RAN, RefusalReason.KEY_OUTCOME_UNKNOWN, 0));
         }
-        return new KeptAnswer.Whole(head.status(), head.headers(), kept.toByteArray());
+        return new StoredOutcome.CompleteAnswer(head.status(), head.headers(), kept.toByteArray());
     }
 
     private void sendKept(Link link) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -172,7 +172,7 @@
 
     void refuse(Link link, Message.Call call, Refusal refusal, Optional<CallContext> context) {
         Message.Report report = report(context);
-        parts.decisions.note(new Decision.TurnedAway(
+        parts.decisions.note(new Decision.CallRefused(
                 call.request(),
                 call.target().upstream(),
                 refusal.state(),
@@ -195,8 +195,8 @@
     }
 
     Message.Report report(Optional<CallContext> context) {
-        Message.Below below = context.map(c -> parts.levels.highest(c.services(), parts.timers.nanos()))
-                .orElse(Message.Below.NOTHING);
+        Message.DeeperLevel below = context.map(c -> parts.levels.strictestLevel(c.services(), parts.timers.nanos()))
+                .orElse(Message.DeeperLevel.NONE);
         LocalUpstream local = upstream;
         if (local == null) {
             return new Message.Report(0, 0, 0, 0, false, below);
@@ -234,8 +234,8 @@
         }
         String id = call.target().upstream();
         RequestDigest digest = RequestDigest.of(call.content());
-        parts.decisions.note(new Decision.EndedUnder(call.request(), id, digest));
-        parts.quarantine.ended(digest, id);
+        parts.decisions.note(new Decision.UpstreamCrashed(call.request(), id, digest));
+        parts.quarantine.recordCrash(digest, id);
         return RefusalReason.UPSTREAM_ENDED;
     }
 
@@ -278,7 +278,7 @@
 
     /** Refuses a call of which nothing but its fate is kept. */
     private void turnAway(Link link, Message.Call call, RefusalReason reason) {
-        seen.neverRuns(call.id());
+        seen.markNeverRuns(call.id());
         refuse(link, call, notRun(reason), Optional.empty());
     }
 
@@ -291,7 +291,7 @@
         }
         Refusal fate =
                 neverRuns(inquiry) ? notRun(RefusalReason.SEALED) : Refusal.mayHaveRun(RefusalReason.CONNECTION_LOST);
-        parts.decisions.note(new Decision.FateTold(id, fate.state(), fate.reason(), parts.incarnation));
+        parts.decisions.note(new Decision.StatusReported(id, fate.state(), fate.reason(), parts.incarnation));
         refuse(link, id, fate, report(Optional.empty()));
     }
 
@@ -303,15 +303,15 @@
      */
     private boolean neverRuns(Message.Inquire inquiry) {
         CallId id = inquiry.id();
-        if (inquiry.sentTo() != parts.incarnation) {
+        if (inquiry.targetIncarnation() != parts.incarnation) {
             return false;
         }
         if (seen.isNeverRun(id)) {
             return true;
         }
-        boolean neverArrived = seen.claim(id) && seen.reachesBackTo(inquiry.sentClock());
+        boolean neverArrived = seen.claim(id) && seen.coversSince(inquiry.targetClock());
         if (neverArrived) {
-            seen.neverRuns(id);
+            seen.markNeverRuns(id);
         }
         return neverArrived;
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IdleTimeout.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
 
@@ -13,14 +13,15 @@
 final class IdleTimeout implements Subscription {
     private final TimerService timers;
     private final long mostNanos;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final BooleanSupplier wanting;
     private final Runnable expired;
     private long progressNanos;
     private Subscription next;
     private boolean over;
 
-    private IdleTimeout(TimerService timers, long mostNanos, Serial serial, BooleanSupplier wanting, Runnable expired) {
+    private IdleTimeout(
+            TimerService timers, long mostNanos, SerialExecutor serial, BooleanSupplier wanting, Runnable expired) {
         this.timers = timers;
         this.mostNanos = mostNanos;
         this.serial = serial;
@@ -31,7 +32,7 @@
 
     /** Starts to watch; {@code expired} is run at most once, in the serial runner. */
     static IdleTimeout start(
-            TimerService timers, long mostNanos, Serial serial, BooleanSupplier wanting, Runnable expired) {
+            TimerService timers, long mostNanos, SerialExecutor serial, BooleanSupplier wanting, Runnable expired) {
         IdleTimeout timeout = new IdleTimeout(timers, mostNanos, serial, wanting, expired);
         timeout.arm(mostNanos);
         return timeout;
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/IncomingCall.java
@@ -4,30 +4,30 @@
 import java.util.Optional;
 
 import org.verbenadyke.kernel.admission.ConcurrencyLimit;
-import org.verbenadyke.kernel.admission.Waiting;
+import org.verbenadyke.kernel.admission.WaitingCall;
 import org.verbenadyke.kernel.call.CallId;
 import org.verbenadyke.kernel.call.HeaderField;
 import org.verbenadyke.kernel.call.Importance;
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RunState;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 import org.verbenadyke.kernel.time.Subscription;
 
 /**
  * One call received from a node above. Everything happens inside a serial runner; only the link is read from elsewhere.
  */
-final class IncomingCall implements Waiting, UpstreamPort.Listener, KeyedTry.Host, SuspectLane.Suspected {
+final class IncomingCall implements WaitingCall, UpstreamPort.Listener, KeyedTry.Host, SuspectLane.Suspected {
     private static final int UNAVAILABLE = 503;
 
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final CallTimes times;
     private final AnswerWriter answer;
     private final SuspectPass suspicion;
@@ -95,7 +95,7 @@
     void granted(long ticket, boolean granted) {
         CallContext c = context;
         if (c != null) {
-            c.budget().granted(ticket, granted);
+            c.budget().decided(ticket, granted);
         }
     }
 
@@ -134,7 +134,7 @@
                 newLink.send(new Message.Refused(
                         call.id(), new Refusal(RunState.RAN, RefusalReason.CONNECTION_LOST, 0), report()));
             }
-            Optional.ofNullable(context).ifPresent(c -> c.budget().askAgain());
+            Optional.ofNullable(context).ifPresent(c -> c.budget().resendPending());
         });
     }
 
@@ -215,7 +215,7 @@
     public void end() {
         whileHanded(() -> {
             answer.end(link);
-            server.parts().quarantine().answered(call.content());
+            server.parts().quarantine().recordAnswer(call.content());
             finish(status == UNAVAILABLE ? ConcurrencyLimit.Outcome.SHED : ConcurrencyLimit.Outcome.ANSWERED);
         });
     }
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void upstreamEnded() {
+    public void upstreamCrashed() {
         whileHanded(() -> {
             Refusal refusal = Refusal.mayHaveRun(server.noteEnded(call, local));
             fail(refusal, ConcurrencyLimit.Outcome.IGNORED);
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public void adopt(KeptAnswer.Whole whole) {
+    public void adopt(StoredOutcome.CompleteAnswer whole) {
         server.parts().counters().count(Event.ANSWER_REPLAYED);
         answer.whole(whole, link, report());
         phase = Phase.FINISHED;
@@ -356,7 +356,7 @@
         local.gate().withdraw(this);
         refuse(refusal);
         if (keyClaimed) {
-            local.keys().withdraw(call.key(), new KeptAnswer.Lost(refusal));
+            local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(refusal));
         }
         conclude();
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
@@ -30,7 +30,7 @@
         record Owned(KeyTable.Claim claim) implements Outcome {}
 
         /** Another node owns the key. */
-        record Elsewhere() implements Outcome {}
+        record OwnedElsewhere() implements Outcome {}
 
         /** An earlier try may have run on a node that is gone. */
         record Uncertain() implements Outcome {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeySettlement.java
@@ -6,8 +6,8 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RunState;
 import org.verbenadyke.kernel.ledger.Ledger;
-import org.verbenadyke.kernel.once.KeptAnswer;
 import org.verbenadyke.kernel.once.KeyTable;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Settles a key after its try was handed over: the key is free again only when the upstream provably did not run the
@@ -19,17 +19,19 @@
     private KeySettlement() {}
 
     static void settle(
-            KeyTable keys, Ledger ledger, String key, Optional<Refusal> refusal, KeptAnswer answer, long now) {
+            KeyTable keys, Ledger ledger, String key, Optional<Refusal> refusal, StoredOutcome answer, long now) {
         boolean notRun = refusal.map(r -> r.state() == RunState.NOT_RUN)
-                .orElseGet(() ->
-                        answer.whole().filter(w -> w.status() == UNAVAILABLE).isPresent());
+                .orElseGet(() -> answer.completeAnswer()
+                        .filter(w -> w.status() == UNAVAILABLE)
+                        .isPresent());
         if (notRun) {
             ledger.keyFreed(key);
-            keys.withdraw(key, refusal.<KeptAnswer>map(KeptAnswer.Lost::new).orElse(answer));
+            keys.withdraw(
+                    key, refusal.<StoredOutcome>map(StoredOutcome.NoAnswer::new).orElse(answer));
             return;
         }
         if (refusal.isPresent()) {
-            keys.settle(key, new KeptAnswer.Lost(Refusal.mayHaveRun(RefusalReason.KEY_OUTCOME_UNKNOWN)), now);
+            keys.settle(key, new StoredOutcome.NoAnswer(Refusal.mayHaveRun(RefusalReason.KEY_OUTCOME_UNKNOWN)), now);
             return;
         }
         keys.settle(key, answer, now);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -2,10 +2,10 @@
 
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
 import org.verbenadyke.kernel.once.KeyTable;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Claims the idempotency key of a call before it may wait for a slot, or gives it the outcome of an earlier try.
@@ -14,10 +14,10 @@
     private final CallServer server;
     private final LocalUpstream local;
     private final Message.Call call;
-    private final Serial serial;
+    private final SerialExecutor serial;
     private final Host host;
 
-    private KeyedTry(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    private KeyedTry(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         this.server = server;
         this.local = local;
         this.call = call;
@@ -25,7 +25,7 @@
         this.host = host;
     }
 
-    static void begin(CallServer server, LocalUpstream local, Message.Call call, Serial serial, Host host) {
+    static void begin(CallServer server, LocalUpstream local, Message.Call call, SerialExecutor serial, Host host) {
         KeyedTry keyed = new KeyedTry(server, local, call, serial, host);
         server.parts().keys().claim(local, call.key(), Fingerprint.of(call), c -> serial.run(() -> keyed.claimed(c)));
     }
@@ -33,13 +33,13 @@
     private void claimed(KeyClaims.Outcome outcome) {
         if (!host.waiting()) {
             if (outcome instanceof KeyClaims.Outcome.Owned(KeyTable.Claim.Granted g)) {
-                local.keys().withdraw(call.key(), new KeptAnswer.Lost(server.notRun(RefusalReason.CANCELLED)));
+                local.keys().withdraw(call.key(), new StoredOutcome.NoAnswer(server.notRun(RefusalReason.CANCELLED)));
             }
             return;
         }
         switch (outcome) {
             case KeyClaims.Outcome.Owned owned -> decided(owned.claim());
-            case KeyClaims.Outcome.Elsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
+            case KeyClaims.Outcome.OwnedElsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
             case KeyClaims.Outcome.Uncertain u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
         }
     }
@@ -54,13 +54,13 @@
     }
 
     /** Gives the outcome of the earlier try. */
-    private void outcome(KeptAnswer kept) {
+    private void outcome(StoredOutcome kept) {
         if (!host.waiting()) {
             return;
         }
         switch (kept) {
-            case KeptAnswer.Whole whole -> host.adopt(whole);
-            case KeptAnswer.Lost lost -> host.refuseKeyed(lost.refusal());
+            case StoredOutcome.CompleteAnswer whole -> host.adopt(whole);
+            case StoredOutcome.NoAnswer lost -> host.refuseKeyed(lost.refusal());
         }
     }
 
@@ -75,7 +75,7 @@
         void ownsKey();
 
         /** Answers with the answer of an earlier try. */
-        void adopt(KeptAnswer.Whole whole);
+        void adopt(StoredOutcome.CompleteAnswer whole);
 
         /** Refuses the call. */
         void refuseKeyed(Refusal refusal);
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
@@ -14,7 +14,7 @@
     private final Gate gate;
     private final KeyTable keys;
     private final TimerService timers;
-    private volatile long sinceNanos;
+    private volatile long acceptingSinceNanos;
     private volatile boolean draining;
     private volatile long drainedNanos;
 
@@ -25,7 +25,7 @@
         this.gate = gate;
         this.keys = keys;
         this.timers = timers;
-        this.sinceNanos = timers.nanos();
+        this.acceptingSinceNanos = timers.nanos();
     }
 
     /**
@@ -130,7 +130,7 @@
             drainedNanos = timers.nanos();
         }
         if (!leaving && draining) {
-            sinceNanos = timers.nanos();
+            acceptingSinceNanos = timers.nanos();
         }
         boolean begins = leaving && !draining;
         draining = leaving;
@@ -144,8 +144,8 @@
      *
      * @return the time in nanoseconds
      */
-    public long sinceNanos() {
-        return sinceNanos;
+    public long acceptingSinceNanos() {
+        return acceptingSinceNanos;
     }
 
     long now() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectPass.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/SuspectPass.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.call.Refusal;
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 
 /**
  * Asks for one received call whether it may be handed to the upstream, by what is known of ends of upstreams under the
@@ -33,13 +33,13 @@
             refuse.accept(server.notRun(RefusalReason.DRAINING));
             return true;
         }
-        return switch (server.parts().quarantine().atUpstream(call.content())) {
-            case Standing.Free free -> false;
-            case Standing.Alone alone -> {
+        return switch (server.parts().quarantine().statusAtUpstream(call.content())) {
+            case QuarantineStatus.Unrestricted free -> false;
+            case QuarantineStatus.SoleSuspect alone -> {
                 suspected = true;
                 yield !server.lane().enter(taker);
             }
-            case Standing.Held held -> {
+            case QuarantineStatus.Quarantined held -> {
                 refuse.accept(server.parts().quarantine().refusal(call.request(), held));
                 yield true;
             }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/UpstreamPort.java
@@ -80,7 +80,7 @@
         void broken();
 
         /** Takes notice that the exchange broke since the upstream ended: nothing listens any more where it did. */
-        default void upstreamEnded() {
+        default void upstreamCrashed() {
             broken();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/time/TurnPacing.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/time/EventLoopPacing.java
@@ -11,7 +11,7 @@
  * <p>A loop whose turns are far apart never rests, so that a request on a quiet node waits for nobody. Not safe for
  * several threads: each loop has its own.
  */
-public final class TurnPacing {
+public final class EventLoopPacing {
     /**
      * The rest between two turns in nanoseconds: the longest that still served a calm day as before (4 ms cost 1.7 % of
      * its credit), and little against target latencies of a hundred milliseconds and more.
@@ -33,15 +33,15 @@
     private double gapNanos = GAP_MOST;
     private long lastNanos = Long.MIN_VALUE;
 
-    private TurnPacing() {}
+    private EventLoopPacing() {}
 
     /**
      * Creates the pacing of one loop, which counts as quiet.
      *
      * @return the pacing
      */
-    public static TurnPacing quiet() {
-        return new TurnPacing();
+    public static EventLoopPacing quiet() {
+        return new EventLoopPacing();
     }
 
     /**
@@ -50,7 +50,7 @@
      * @param nowNanos the time
      * @return how long to rest before the next turn, in nanoseconds; 0 for not at all
      */
-    public long turnEnded(long nowNanos) {
+    public long iterationEnded(long nowNanos) {
         if (lastNanos != Long.MIN_VALUE) {
             double gap = Math.min(GAP_MOST, nowNanos - lastNanos);
             gapNanos += SMOOTHING * (gap - gapNanos);
