--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
@@ -17,32 +17,33 @@
      * @param request the request, as its caller names it
      * @param chain the request, as nodes name it
      * @param route the route it matched, empty if none
-     * @param plan the version of the routes it was matched against
+     * @param planVersion the version of the routes it was matched against
      * @param state whether it ran
      * @param reason why it was refused
      * @param retryAfterMillis when its caller may come back, in milliseconds; 0 if not said
-     * @param heldMillis how long it was held, in milliseconds
+     * @param elapsedMillis how long it was held, in milliseconds
      */
     record Refused(
             String request,
             String chain,
             String route,
-            long plan,
+            long planVersion,
             RunState state,
             RefusalReason reason,
             long retryAfterMillis,
-            long heldMillis)
+            long elapsedMillis)
             implements Decision {}
 
     /**
      * A request was refused since its caller isn't known.
      *
      * @param request the request, as its caller names it
-     * @param plan the version of the configuration that was asked
+     * @param planVersion the version of the configuration that was asked
      * @param fault what is wrong with the key that it brought
-     * @param signAgeMillis how long ago some node was known to read the operators' record, in milliseconds
+     * @param heartbeatAgeMillis how long ago some node was known to read the operators' record, in milliseconds
      */
-    record Unidentified(String request, long plan, String fault, long signAgeMillis) implements Decision {}
+    record CallerUnidentified(String request, long planVersion, String fault, long heartbeatAgeMillis)
+            implements Decision {}
 
     /**
      * A request got an upstream's answer that says that it failed.
@@ -50,11 +51,11 @@
      * @param request the request, as its caller names it
      * @param chain the request, as nodes name it
      * @param route the route it matched
-     * @param plan the version of the routes it was matched against
+     * @param planVersion the version of the routes it was matched against
      * @param status the HTTP status
-     * @param heldMillis how long it was held until the answer began, in milliseconds
+     * @param elapsedMillis how long it was held until the answer began, in milliseconds
      */
-    record Failed(String request, String chain, String route, long plan, int status, long heldMillis)
+    record Failed(String request, String chain, String route, long planVersion, int status, long elapsedMillis)
             implements Decision {}
 
     /**
@@ -68,7 +69,7 @@
      * @param limit how many the upstream may have at once
      * @param level the rank below which calls are refused here and below
      */
-    record TurnedAway(
+    record CallRefused(
             RequestId chain, String upstream, RunState state, RefusalReason reason, int inFlight, int limit, int level)
             implements Decision {}
 
@@ -100,10 +101,12 @@
      * @param chain the request
      * @param attempt the attempt
      * @param upstream the upstream it was sent to
-     * @param sentTo the incarnation of the process that the attempt was sent to
-     * @param asked the incarnation of the process that is asked
+     * @param targetIncarnation the incarnation of the process that the attempt was sent to
+     * @param queriedIncarnation the incarnation of the process that is asked
      */
-    record FateAsked(RequestId chain, CallId attempt, String upstream, long sentTo, long asked) implements Decision {}
+    record StatusInquired(
+            RequestId chain, CallId attempt, String upstream, long targetIncarnation, long queriedIncarnation)
+            implements Decision {}
 
     /**
      * This node told what became of an attempt of which it holds nothing.
@@ -113,7 +116,7 @@
      * @param reason why
      * @param incarnation the incarnation of this process
      */
-    record FateTold(CallId attempt, RunState state, RefusalReason reason, long incarnation) implements Decision {}
+    record StatusReported(CallId attempt, RunState state, RefusalReason reason, long incarnation) implements Decision {}
 
     /**
      * An upstream ended while it had a call.
@@ -122,7 +125,7 @@
      * @param upstream the upstream
      * @param digest what the call asked for; the same for every try and repeat of it
      */
-    record EndedUnder(RequestId chain, String upstream, RequestDigest digest) implements Decision {}
+    record UpstreamCrashed(RequestId chain, String upstream, RequestDigest digest) implements Decision {}
 
     /**
      * A request is held back from now on, since upstreams ended while they had it.
@@ -140,7 +143,7 @@
      * @param retryAfterMillis after how long it may be tried again, in milliseconds
      * @param evidence the ends: which, how long ago, told by whom
      */
-    record HeldBack(RequestId chain, RequestDigest digest, long retryAfterMillis, String evidence)
+    record QuarantineRefused(RequestId chain, RequestDigest digest, long retryAfterMillis, String evidence)
             implements Decision {}
 
     /**
@@ -167,7 +170,7 @@
      *
      * @param source the stream or the sender that it came from
      * @param key its key, empty if it has none
-     * @param why what is wrong with it
+     * @param reason what is wrong with it
      */
-    record RecordSkipped(String source, String key, String why) implements Decision {}
+    record RecordSkipped(String source, String key, String reason) implements Decision {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/LineBudget.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/LineRateLimiter.java
@@ -12,14 +12,14 @@
  * <p>Load pattern: under overload some hundred requests a second are refused on a node for the same reason; the first
  * lines of a second tell what the others would, and writing all of them would cost what is short.
  */
-public final class LineBudget {
+public final class LineRateLimiter {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final TimerService timers;
     private final int linesMost;
     private final Map<String, Second> seconds = new ConcurrentHashMap<>();
 
-    private LineBudget(TimerService timers, int linesMost) {
+    private LineRateLimiter(TimerService timers, int linesMost) {
         this.timers = timers;
         this.linesMost = linesMost;
     }
@@ -31,8 +31,8 @@
      * @param linesMost lines of each kind in a second
      * @return the budget
      */
-    public static LineBudget of(TimerService timers, int linesMost) {
-        return new LineBudget(timers, linesMost);
+    public static LineRateLimiter of(TimerService timers, int linesMost) {
+        return new LineRateLimiter(timers, linesMost);
     }
 
     /**
--- a/kernel/src/test/java/org/verbenadyke/kernel/WrittenOutEqualityTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/WrittenOutEqualityTest.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.team.KeyDigest;
 
@@ -20,14 +20,14 @@
 final class WrittenOutEqualityTest {
     private static final Endpoint HERE = new Endpoint("h", 1);
     private static final Endpoint THERE = new Endpoint("h", 2);
-    private static final Place PLACE = new Place("r", "d");
-    private static final Place ELSEWHERE = new Place("r", "e");
+    private static final Location PLACE = new Location("r", "d");
+    private static final Location ELSEWHERE = new Location("r", "e");
 
     /** Lists of values that all differ, each from the first in one component. */
     static Stream<List<Object>> different() {
         return Stream.of(
                 List.of(HERE, THERE, new Endpoint("i", 1)),
-                List.of(PLACE, ELSEWHERE, new Place("s", "d")),
+                List.of(PLACE, ELSEWHERE, new Location("s", "d")),
                 List.of(new CallId(1, 2), new CallId(1, 3), new CallId(2, 2)),
                 List.of(new KeyDigest(1, 2), new KeyDigest(1, 3), new KeyDigest(2, 2)),
                 List.of(
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/GateTest.java
@@ -104,7 +104,7 @@
     }
 
     /** A call that notes what became of it. */
-    private final class Call implements Waiting {
+    private final class Call implements WaitingCall {
         private final String name;
         private final Importance importance;
         private final int depth;
--- a/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/admission/LoadLevelReplayTest.java
@@ -211,7 +211,7 @@
     }
 
     /** One call of a request. */
-    private final class Call implements Waiting {
+    private final class Call implements WaitingCall {
         private final Request request;
         private final int at;
         private final int depth;
--- a/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/concurrent/SerialTest.java
@@ -9,9 +9,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests {@link Serial}. */
+/** Tests {@link SerialExecutor}. */
 public class SerialTest {
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private int plain;
 
     /** Adds through the runner; two adds at once would lose one. */
@@ -22,7 +22,7 @@
 
     @Test
     public void runsNestedTasksAfterTheCurrentOne() {
-        Serial s = Serial.create();
+        SerialExecutor s = SerialExecutor.create();
         List<Integer> order = new ArrayList<>();
         s.run(() -> {
             s.run(() -> order.add(2));
--- a/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigReaderTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/config/ConfigReaderTest.java
@@ -19,15 +19,15 @@
     void ofTwoChangesOnOneBaseTheFirstWinsEverywhere() {
         reader.read(0, 2, log(0, change("a", 0, 5), change("b", 0, 7)));
         assertEquals(5, retries());
-        assertTrue(decision("a").won());
-        assertFalse(decision("b").won());
+        assertTrue(decision("a").tookEffect());
+        assertFalse(decision("b").tookEffect());
     }
 
     @Test
     void aChangeThatStandsTwiceCountsOnce() {
         reader.read(0, 3, log(0, change("a", 0, 5), change("a", 0, 5), change("c", 1, 6)));
         assertEquals(2, version());
-        assertTrue(decision("a").won());
+        assertTrue(decision("a").tookEffect());
     }
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberDutiesTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberDutiesTest.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -59,6 +59,6 @@
     }
 
     private static MemberRecord member(String id, String service, MemberState state) {
-        return new MemberRecord(id, 1, 0, state, AT, AT, new Place("r", "d"), service, 0, 0);
+        return new MemberRecord(id, 1, 0, state, AT, AT, new Location("r", "d"), service, 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -19,11 +19,11 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 import org.verbenadyke.kernel.trace.Decision;
 
@@ -32,7 +32,7 @@
 /** Tests {@link MemberLog}. */
 final class MemberLogTest {
     private static final String UNREADABLE = "unreadable";
-    private static final HeldRequest HELD = new HeldRequest(new RequestDigest(1, 2, 3), List.of());
+    private static final QuarantinedRequest HELD = new QuarantinedRequest(new RequestDigest(1, 2, 3), List.of());
     private static final long HOUR_NANOS = 3_600_000_000_000L;
     private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -211,9 +211,9 @@
                 new HeldNameCodec(),
                 null,
                 () -> new SplittableRandom(1),
-                PlanKeeper.absent(),
+                RoutePlanStore.disabled(),
                 counters,
-                Ledger.off(),
+                Ledger.disabled(),
                 decisions::add);
         MemberLog members = new MemberLog(parts, node);
         members.start(HOUR_NANOS, spreadNanos);
@@ -230,7 +230,7 @@
 
     private static MemberRecord member(String id) {
         Endpoint here = new Endpoint("127.0.0.1", 1);
-        return new MemberRecord(id, 1, 0, MemberState.ALIVE, here, here, new Place("r", "d"), "", 0, 0);
+        return new MemberRecord(id, 1, 0, MemberState.ALIVE, here, here, new Location("r", "d"), "", 0, 0);
     }
 
     /** Gives one page after the other, a record as long as an offset. */
@@ -251,17 +251,17 @@
         }
 
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
             appends++;
-            taker.accept(new Appended.At(0));
+            taker.accept(new AppendResult.At(0));
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
             asked.add(fromOffset);
             boolean written = fromOffset < pages.size();
             List<LogRecord> page = written ? pages.get((int) fromOffset) : List.of();
-            taker.accept(new Read.Records(0, fromOffset + (written ? 1 : 0), page, complete));
+            taker.accept(new ReadResult.Records(0, fromOffset + (written ? 1 : 0), page, complete));
         }
     }
 
@@ -282,7 +282,7 @@
         }
 
         @Override
-        public void restore(HeldRequest held) {
+        public void restore(QuarantinedRequest held) {
             learned.add(held.key());
         }
 
@@ -303,14 +303,14 @@
     }
 
     /** Words a held request as its key. */
-    private static final class HeldNameCodec implements RecordCodec<HeldRequest> {
+    private static final class HeldNameCodec implements RecordCodec<QuarantinedRequest> {
         @Override
-        public byte[] encode(HeldRequest record) {
+        public byte[] encode(QuarantinedRequest record) {
             return bytes(record.key());
         }
 
         @Override
-        public HeldRequest decode(byte[] bytes) {
+        public QuarantinedRequest decode(byte[] bytes) {
             String name = new String(bytes, StandardCharsets.UTF_8);
             if (!name.equals(HELD.key())) {
                 throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, name);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -14,10 +14,10 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.DecisionLog;
@@ -34,7 +34,7 @@
 
     @Test
     void bearsTimersThatFireBeforeItIsComplete() {
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         MemberRecord self = new MemberRecord("n", 1, 0, MemberState.ALIVE, HERE, HERE, place, "", 0, 0);
         NodeCore.start(
                 new CoreParts(
@@ -45,12 +45,12 @@
                         (to, message) -> {},
                         new NoLog(),
                         new NoCodec<MemberRecord>(),
-                        new NoCodec<HeldRequest>(),
+                        new NoCodec<QuarantinedRequest>(),
                         new NoCodec<ConfigEntry>(),
                         () -> new SplittableRandom(1),
-                        PlanKeeper.absent(),
+                        RoutePlanStore.disabled(),
                         Counters.create(),
-                        Ledger.off(),
+                        Ledger.disabled(),
                         DecisionLog.none()),
                 CoreSettings.withoutConfigLog(Policy.standard()));
         assertEquals(List.of(), failures);
@@ -89,12 +89,12 @@
     /** A log that never answers. */
     private static final class NoLog implements LogService {
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
             // Never answers.
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
             // Never answers.
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
@@ -10,43 +10,43 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests {@link UpstreamWatch}. */
+/** Tests {@link UpstreamMonitor}. */
 final class UpstreamWatchTest {
     private static final long SILENT = 6_000;
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final List<String> told = new ArrayList<>();
-    private final UpstreamWatch watch = UpstreamWatch.start(clock, SILENT, new Told());
+    private final UpstreamMonitor watch = UpstreamMonitor.start(clock, SILENT, new Told());
 
     @Test
     void ignoresAnOlderHeartbeatOfTheSameStart() {
-        watch.hear(beat("a", 5, false));
-        watch.hear(beat("a", 4, true));
+        watch.heartbeat(beat("a", 5, false));
+        watch.heartbeat(beat("a", 4, true));
         assertEquals(List.of("arrived a", "late a"), told);
     }
 
     @Test
     void ignoresAStartThatWasReplaced() {
-        watch.hear(beat("a", 5, false));
-        watch.hear(beat("b", 1, false));
-        watch.hear(beat("a", 6, false));
+        watch.heartbeat(beat("a", 5, false));
+        watch.heartbeat(beat("b", 1, false));
+        watch.heartbeat(beat("a", 6, false));
         assertEquals(List.of("arrived a", "arrived b", "late a"), told);
         assertEquals("b", watch.current().orElseThrow().id());
     }
 
     @Test
     void givesALeavingUpstreamNoMoreWork() {
-        watch.hear(beat("a", 1, false));
-        watch.hear(beat("a", 2, true));
-        watch.hear(beat("a", 3, true));
+        watch.heartbeat(beat("a", 1, false));
+        watch.heartbeat(beat("a", 2, true));
+        watch.heartbeat(beat("a", 3, true));
         watch.left(start("a"));
-        watch.hear(beat("a", 4, false));
+        watch.heartbeat(beat("a", 4, false));
         assertEquals(List.of("arrived a", "leaving a", "late a"), told);
     }
 
     @Test
     void takesAGoodbyeWithoutWarning() {
-        watch.hear(beat("a", 1, false));
+        watch.heartbeat(beat("a", 1, false));
         watch.left(start("a"));
         watch.left(start("other"));
         assertEquals(List.of("arrived a", "leaving a"), told);
@@ -54,19 +54,19 @@
 
     @Test
     void noticesSilenceAndTheReturn() {
-        watch.hear(beat("a", 1, false));
+        watch.heartbeat(beat("a", 1, false));
         clock.advance(2 * SILENT);
-        watch.hear(beat("a", 2, false));
+        watch.heartbeat(beat("a", 2, false));
         assertEquals(List.of("arrived a", "silent a", "arrived a"), told);
     }
 
     @Test
     void givesNoWorkToAnUpstreamWhereNothingListensUntilItReports() {
-        watch.hear(beat("a", 1, false));
+        watch.heartbeat(beat("a", 1, false));
         watch.absent(start("a"));
         watch.absent(start("a"));
-        watch.hear(beat("a", 2, false));
-        watch.hear(beat("b", 1, false));
+        watch.heartbeat(beat("a", 2, false));
+        watch.heartbeat(beat("b", 1, false));
         watch.absent(start("a"));
         clock.advance(SILENT / 2);
         assertEquals(List.of("arrived a", "absent a", "arrived a", "arrived b"), told);
@@ -74,91 +74,91 @@
 
     @Test
     void attachesNothingThatLeavesAlready() {
-        watch.hear(beat("a", 1, true));
+        watch.heartbeat(beat("a", 1, true));
         clock.advance(2 * SILENT);
         assertEquals(List.of(), told);
     }
 
     @Test
     void takesALaterStartUnderTheSameIdThoughItCountsAnew() {
-        watch.hear(beat("a", 100, 50, false));
-        watch.hear(beat("a", 200, 1, false));
-        watch.hear(beat("a", 200, 2, false));
+        watch.heartbeat(beat("a", 100, 50, false));
+        watch.heartbeat(beat("a", 200, 1, false));
+        watch.heartbeat(beat("a", 200, 2, false));
         assertEquals(List.of("arrived a@100", "arrived a@200"), told);
     }
 
     @Test
     void ignoresAnEarlierStartUnderTheSameIdThoughItCountsHigher() {
-        watch.hear(beat("a", 200, 1, false));
-        watch.hear(beat("a", 100, 50, true));
-        watch.hear(beat("a", 100, 51, false));
+        watch.heartbeat(beat("a", 200, 1, false));
+        watch.heartbeat(beat("a", 100, 50, true));
+        watch.heartbeat(beat("a", 100, 51, false));
         clock.advance(2 * SILENT);
-        watch.hear(beat("a", 100, 52, false));
+        watch.heartbeat(beat("a", 100, 52, false));
         assertEquals(List.of("arrived a@200", "late a@100", "late a@100", "silent a@200", "late a@100"), told);
     }
 
     @Test
     void ordersTheHeartbeatsOfOneStartByTheirSequence() {
-        watch.hear(beat("a", 100, 5, false));
-        watch.hear(beat("a", 100, 4, true));
-        watch.hear(beat("a", 100, 5, true));
+        watch.heartbeat(beat("a", 100, 5, false));
+        watch.heartbeat(beat("a", 100, 4, true));
+        watch.heartbeat(beat("a", 100, 5, true));
         assertEquals(List.of("arrived a@100", "late a@100", "late a@100"), told);
     }
 
     @Test
     void takesALaterStartAfterAGoodbyeUnderTheSameId() {
-        watch.hear(beat("a", 100, 7, false));
+        watch.heartbeat(beat("a", 100, 7, false));
         watch.left(start("a"));
-        watch.hear(beat("a", 100, 8, false));
-        watch.hear(beat("a", 200, 1, false));
+        watch.heartbeat(beat("a", 100, 8, false));
+        watch.heartbeat(beat("a", 200, 1, false));
         assertEquals(List.of("arrived a@100", "leaving a@100", "late a@100", "arrived a@200"), told);
     }
 
     @Test
     void ignoresAGoodbyeOfAnEarlierStart() {
-        watch.hear(beat("a", 200, 1, false));
+        watch.heartbeat(beat("a", 200, 1, false));
         watch.left(start("a", 100));
-        watch.hear(beat("a", 200, 2, false));
+        watch.heartbeat(beat("a", 200, 2, false));
         assertEquals(List.of("arrived a@200"), told);
     }
 
     @Test
     void ignoresAnEarlierStartUnderAnotherIdWhileTheLaterOneReports() {
-        watch.hear(beat("b", 200, 1, false));
-        watch.hear(beat("a", 100, 50, false));
+        watch.heartbeat(beat("b", 200, 1, false));
+        watch.heartbeat(beat("a", 100, 50, false));
         assertEquals(List.of("arrived b@200", "late a@100"), told);
     }
 
     @Test
     void takesAnUpstreamWhoseClockWentBackOnceTheOtherIsSilent() {
-        watch.hear(beat("b", 200, 1, false));
+        watch.heartbeat(beat("b", 200, 1, false));
         clock.advance(2 * SILENT);
-        watch.hear(beat("a", 100, 1, false));
+        watch.heartbeat(beat("a", 100, 1, false));
         assertEquals(List.of("arrived b@200", "silent b@200", "arrived a@100"), told);
     }
 
     @Test
     void tellsThatTheUpstreamLeavesWhenItsNextStartLeavesAtOnce() {
-        watch.hear(beat("a", 100, 1, false));
-        watch.hear(beat("a", 200, 1, true));
+        watch.heartbeat(beat("a", 100, 1, false));
+        watch.heartbeat(beat("a", 200, 1, true));
         assertEquals(List.of("arrived a@100", "leaving a@200"), told);
     }
 
     @Test
     void ignoresAHeartbeatThatDoesNotSayWhichOfSeveralStartsItMeans() {
-        watch.hear(beat("a", 100, 1, false));
-        watch.hear(beat("a", 9, true));
-        watch.hear(beat("b", 9, false));
+        watch.heartbeat(beat("a", 100, 1, false));
+        watch.heartbeat(beat("a", 9, true));
+        watch.heartbeat(beat("b", 9, false));
         assertEquals(List.of("arrived a@100", "late a", "late b"), told);
     }
 
     @Test
     void ignoresForAWhileWhatAnUnknownUpstreamSaidBeforeItsGoodbye() {
         watch.left(start("a"));
-        watch.hear(beat("a", 100, 7, false));
+        watch.heartbeat(beat("a", 100, 7, false));
         clock.advance(2 * SILENT);
-        watch.hear(beat("a", 100, 8, false));
-        watch.hear(beat("a", 200, 1, false));
+        watch.heartbeat(beat("a", 100, 8, false));
+        watch.heartbeat(beat("a", 200, 1, false));
         assertEquals(List.of("late a@100", "late a@100", "arrived a@200"), told);
     }
 
@@ -166,7 +166,7 @@
     void takesALaterStartLongAfterAnUnknownUpstreamsGoodbye() {
         watch.left(start("a"));
         clock.advance(2 * SILENT);
-        watch.hear(beat("a", 100, 1, false));
+        watch.heartbeat(beat("a", 100, 1, false));
         assertEquals(List.of("arrived a@100"), told);
     }
 
@@ -178,47 +178,47 @@
         return new UpstreamStart(id, OptionalLong.of(born));
     }
 
-    private static UpstreamBeat beat(String id, long sequence, boolean leaving) {
+    private static UpstreamHeartbeat beat(String id, long sequence, boolean leaving) {
         return beat(start(id), sequence, leaving);
     }
 
-    private static UpstreamBeat beat(String id, long born, long sequence, boolean leaving) {
+    private static UpstreamHeartbeat beat(String id, long born, long sequence, boolean leaving) {
         return beat(start(id, born), sequence, leaving);
     }
 
-    private static UpstreamBeat beat(UpstreamStart start, long sequence, boolean leaving) {
-        return new UpstreamBeat(start, "s", new Endpoint("127.0.0.1", 80), 4, leaving, 0, sequence);
+    private static UpstreamHeartbeat beat(UpstreamStart start, long sequence, boolean leaving) {
+        return new UpstreamHeartbeat(start, "s", new Endpoint("127.0.0.1", 80), 4, leaving, 0, sequence);
     }
 
     /** Notes what is told. */
-    private final class Told implements UpstreamWatch.Host {
+    private final class Told implements UpstreamMonitor.Listener {
         @Override
-        public void arrived(UpstreamBeat beat) {
+        public void arrived(UpstreamHeartbeat beat) {
             note("arrived ", beat);
         }
 
         @Override
-        public void leaving(UpstreamBeat beat) {
+        public void leaving(UpstreamHeartbeat beat) {
             note("leaving ", beat);
         }
 
         @Override
-        public void silent(UpstreamBeat beat, long silentNanos) {
+        public void silent(UpstreamHeartbeat beat, long silentNanos) {
             note("silent ", beat);
         }
 
         @Override
-        public void absent(UpstreamBeat beat) {
+        public void absent(UpstreamHeartbeat beat) {
             note("absent ", beat);
         }
 
         @Override
-        public void late(UpstreamBeat beat) {
+        public void late(UpstreamHeartbeat beat) {
             note("late ", beat);
         }
 
-        private void note(String what, UpstreamBeat beat) {
-            OptionalLong born = beat.start().bornMillis();
+        private void note(String what, UpstreamHeartbeat beat) {
+            OptionalLong born = beat.start().startedMillis();
             told.add(what + beat.id() + (born.isPresent() ? "@" + born.getAsLong() : ""));
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -22,7 +22,7 @@
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.routing.Candidate;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Router;
 import org.verbenadyke.kernel.routing.TwoChoicesProvider;
 import org.verbenadyke.kernel.routing.Upstream;
@@ -36,8 +36,8 @@
 /** Tests {@link Dispatcher} and the requests it sends. */
 final class DispatcherTest {
     private static final long MILLI = 1_000_000L;
-    private static final Place PLACE = new Place("r", "d");
-    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.Below.NOTHING);
+    private static final Location PLACE = new Location("r", "d");
+    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.DeeperLevel.NONE);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final Counters counters = Counters.create();
@@ -54,7 +54,7 @@
                     (endpoint, taker) -> taker.accept(Optional.of(link)),
                     () -> random,
                     counters,
-                    Ledger.watching(b -> got.add("breach " + b)),
+                    Ledger.reportingTo(b -> got.add("breach " + b)),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             DispatchSettings.standard());
@@ -180,7 +180,7 @@
     void givesUpAtOnceWhenThePathBelowShedsThisRank() {
         send(true, 2);
         Message.Report full =
-                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.Below.NOTHING);
+                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.DeeperLevel.NONE);
         for (int i = 0; i < 2; i++) {
             dispatcher.received(link, new Message.Refused(calls().get(i).id(), notRun(RefusalReason.SHED_LEVEL), full));
         }
@@ -197,7 +197,7 @@
         send(false, 0);
         String first = calls().getFirst().target().upstream();
         Message.Report full =
-                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.Below.NOTHING);
+                new Message.Report(10, 10, Importance.RANKS, Importance.RANKS, false, Message.DeeperLevel.NONE);
         dispatcher.received(link, new Message.Refused(calls().getFirst().id(), notRun(RefusalReason.SHED_LEVEL), full));
         assertEquals(2, calls().size());
         assertNotEquals(first, calls().get(1).target().upstream());
@@ -214,7 +214,7 @@
                 .orElseThrow();
         Candidate unseen = Candidate.of(candidate.upstream(), true);
         unseen.reported("", CALM, clock.nanos());
-        assertTrue(candidate.expectedNanos(MILLI) > unseen.expectedNanos(MILLI));
+        assertTrue(candidate.expectedLatencyNanos(MILLI) > unseen.expectedLatencyNanos(MILLI));
     }
 
     private void renewLink() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -19,7 +19,7 @@
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.Quarantine;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Router;
 import org.verbenadyke.kernel.routing.TwoChoicesProvider;
 import org.verbenadyke.kernel.routing.Upstream;
@@ -31,8 +31,8 @@
 /** Tests a filing that was refused as not run and whose connection is lost while a retry is asked for further up. */
 final class RefusedThenLostTest {
     private static final long MILLI = 1_000_000L;
-    private static final Place PLACE = new Place("r", "d");
-    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.Below.NOTHING);
+    private static final Location PLACE = new Location("r", "d");
+    private static final Message.Report CALM = new Message.Report(0, 10, 0, 0, false, Message.DeeperLevel.NONE);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final List<String> got = new ArrayList<>();
@@ -48,7 +48,7 @@
                     (endpoint, taker) -> taker.accept(Optional.of(link)),
                     () -> random,
                     Counters.create(),
-                    Ledger.off(),
+                    Ledger.disabled(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             DispatchSettings.standard());
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.call.RecordingSink;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.quarantine.Standing;
+import org.verbenadyke.kernel.quarantine.QuarantineStatus;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
@@ -56,7 +56,7 @@
 
     @Test
     void isRefusedAsNotRunWhenItComesAgain() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(BAD);
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -64,7 +64,7 @@
 
     @Test
     void isStoppedAtTheUpstreamWhereTheEntryDoesNotKnowYet() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         send(unknowing(), BAD, "");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -73,7 +73,7 @@
     @Test
     void aFilingWithAKeyIsStoppedThereToo() {
         Message.Content filing = content("POST", "/bad");
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(filing, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(filing, s.host()));
         send(unknowing(), filing, "key-1");
         assertEquals(List.of(), runs);
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), got);
@@ -82,21 +82,21 @@
     /** What needs the call fails with it, and nobody above tries that again. */
     @Test
     void aCallInsideAChainIsHeldBackAndItsFailureIsFinal() {
-        SERVERS.subList(0, 3).forEach(s -> quarantine.ended(BAD, s.host()));
+        SERVERS.subList(0, 3).forEach(s -> quarantine.recordCrash(BAD, s.host()));
         Endpoint above = new Endpoint("10.0.1.1", 1);
         Engine caller = engine(above.host(), 3, quarantine);
         route(caller);
         List<String> below = new ArrayList<>();
         caller.attach(above.host(), "a", (handOver, listener) -> {
             runs.add(above);
-            caller.callFrom(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(below));
+            caller.submitNested(handOver.contextToken(), inbound("s", BAD, ""), new RecordingSink(below));
             listener.head(500, List.of());
             listener.end();
             return new Engines.Silent();
         });
         net.listen(above, caller::accept);
         entry.router().update(List.of(new Upstream(above.host(), "a", above, Engines.PLACE)));
-        entry.enter(inbound("a", content("GET", "/p"), ""), new RecordingSink(got));
+        entry.submit(inbound("a", content("GET", "/p"), ""), new RecordingSink(got));
         assertEquals(List.of("refused NOT_RUN QUARANTINED 20001"), below);
         assertEquals(List.of(above), runs);
         assertEquals("head 500", got.getFirst());
@@ -109,7 +109,7 @@
         end(runs.getLast());
         assertEquals(1, runs.size());
         assertEquals(List.of("refused MAY_HAVE_RUN UPSTREAM_ENDED 0"), got);
-        assertEquals(1, quarantine.ends(10).size());
+        assertEquals(1, quarantine.crashes(10).size());
     }
 
     @Test
@@ -119,13 +119,15 @@
         end(runs.getLast());
         assertEquals(
                 List.of(),
-                quarantine.ends(10).stream().filter(e -> e.toldBy().isEmpty()).toList());
+                quarantine.crashes(10).stream()
+                        .filter(e -> e.reportedBy().isEmpty())
+                        .toList());
     }
 
     @Test
     void runsAloneAfterTwoEndsAndIsFreeOnceAnswered() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
@@ -134,7 +136,7 @@
         Endpoint first = runs.getFirst();
         running.get(first).head(200, List.of());
         running.get(first).end();
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         assertEquals(before + 1, runs.size());
         assertEquals(first, runs.getLast());
     }
@@ -142,8 +144,8 @@
     /** It waits beside the queue, which is emptied when an upstream begins to leave. */
     @Test
     void isNotHandedToAnUpstreamThatBeganToLeaveWhileItWaited() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         Endpoint only = SERVERS.getFirst();
         entry.router().update(List.of(new Upstream(only.host(), "s", only, Engines.PLACE)));
         send(BAD);
@@ -158,14 +160,14 @@
 
     @Test
     void isHeldBackThoughItWaitedWhileUpstreamsEndedElsewhere() {
-        quarantine.ended(BAD, "gone-1");
-        quarantine.ended(BAD, "gone-2");
+        quarantine.recordCrash(BAD, "gone-1");
+        quarantine.recordCrash(BAD, "gone-2");
         for (int i = 0; i < SERVERS.size() * 4; i++) {
             send(BAD);
         }
         int before = runs.size();
         end(runs.getFirst());
-        assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
+        assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
         List.copyOf(runs).forEach(s -> running.get(s).broken());
         assertEquals(before, runs.size());
     }
@@ -203,15 +205,15 @@
     }
 
     private void send(Engine at, Message.Content content, String key) {
-        at.enter(inbound("s", content, key), new RecordingSink(got));
+        at.submit(inbound("s", content, key), new RecordingSink(got));
     }
 
-    private static Inbound inbound(String service, Message.Content content, String key) {
-        return new Inbound(service, content, key, Optional.of(10_000 * MILLI));
+    private static InboundRequest inbound(String service, Message.Content content, String key) {
+        return new InboundRequest(service, content, key, Optional.of(10_000 * MILLI));
     }
 
     private void end(Endpoint server) {
-        running.get(server).upstreamEnded();
+        running.get(server).upstreamCrashed();
     }
 
     private static Message.Content content(String method, String path) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
@@ -5,7 +5,7 @@
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -13,7 +13,7 @@
 
 /** Makes engines that are connected by a {@link MemoryNet}, and know each other's upstreams as a test tells them. */
 final class Engines {
-    static final Place PLACE = new Place("r", "d");
+    static final Location PLACE = new Location("r", "d");
 
     private Engines() {}
 
@@ -28,7 +28,7 @@
                 net.transport(),
                 () -> random,
                 Counters.create(),
-                Ledger.off(),
+                Ledger.disabled(),
                 DecisionLog.none(),
                 quarantine,
                 KeyClaims.alone(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenFilingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenFilingTest.java
@@ -103,7 +103,7 @@
 
     private void send(String method) {
         Message.Content content = new Message.Content(method, "/p", List.of(), new byte[0]);
-        entry.enter(new Inbound("s", content, "", Optional.of(TTL)), new RecordingSink(got));
+        entry.submit(new InboundRequest("s", content, "", Optional.of(TTL)), new RecordingSink(got));
     }
 
     private void answer(Endpoint server) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ReturnedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ReturnedUpstreamTest.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.ledger.Ledger;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.quarantine.Quarantine;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.serve.UpstreamPort;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -21,12 +21,12 @@
             new EngineParts(
                     "n",
                     1,
-                    new Place("r", "d"),
+                    new Location("r", "d"),
                     clock,
                     (endpoint, handler) -> {},
                     () -> new SplittableRandom(1),
                     Counters.create(),
-                    Ledger.off(),
+                    Ledger.disabled(),
                     DecisionLog.none(),
                     Quarantine.alone(clock),
                     KeyClaims.alone(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -9,7 +9,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -97,7 +97,7 @@
 
     private static MemberRecord member(int i, int places, MemberState state) {
         Endpoint at = new Endpoint("10.0.0." + i, 1);
-        return new MemberRecord("n" + i, 1, 0, state, at, at, new Place("r", "d" + i % places), "", 0, 0);
+        return new MemberRecord("n" + i, 1, 0, state, at, at, new Location("r", "d" + i % places), "", 0, 0);
     }
 
     /** Nodes that know each other, tell each other the age of the last sign of a reader, and may lose the store. */
@@ -176,13 +176,13 @@
                 stop();
                 notBefore = clock.nanos() + 2_000 * MILLI;
             }
-            if (reading && clock.nanos() >= until && !duty.regular()) {
+            if (reading && clock.nanos() >= until && !duty.designated()) {
                 stop();
             }
-            if (!reading && clock.nanos() >= notBefore && duty.due()) {
+            if (!reading && clock.nanos() >= notBefore && duty.shouldStart()) {
                 tries++;
                 reading = !cut;
-                duty.following(reading);
+                duty.setFollowing(reading);
                 until = clock.nanos() + 6_000 * MILLI;
                 notBefore = clock.nanos() + (cut ? 2_000 * MILLI : 0);
             }
@@ -190,7 +190,7 @@
 
         private void stop() {
             reading = false;
-            duty.following(false);
+            duty.setFollowing(false);
         }
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
@@ -58,7 +58,7 @@
         Link link = ready();
         clock.advance(2_000 * MILLI);
         answering = false;
-        link.awaiting(1);
+        link.adjustAwaited(1);
         clock.advance(1_000 * MILLI);
         assertTrue(link.closed());
         assertEquals(List.of(link), lost);
@@ -68,7 +68,7 @@
     @Test
     void keepsALinkThatAnswers() {
         Link link = ready();
-        link.awaiting(1);
+        link.adjustAwaited(1);
         clock.advance(30_000 * MILLI);
         assertFalse(link.closed());
     }
@@ -76,7 +76,7 @@
     @Test
     void renewsTheLentClockOnABusyLink() {
         Link link = ready();
-        link.awaiting(1);
+        link.adjustAwaited(1);
         for (int i = 0; i < 100; i++) {
             opened.getFirst().received(new Message.Cancel(new CallId(1, i)));
             clock.advance(100 * MILLI);
@@ -87,7 +87,7 @@
     @Test
     void aPauseOfThisProcessProvesNothing() {
         Link link = ready();
-        link.awaiting(1);
+        link.adjustAwaited(1);
         clock.advance(500 * MILLI);
         clock.jump(5_000 * MILLI);
         clock.advance(100 * MILLI);
--- a/kernel/src/test/java/org/verbenadyke/kernel/membership/MemberTableTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/membership/MemberTableTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -82,6 +82,6 @@
     }
 
     private static MemberRecord record(String node, long incarnation, long version, MemberState state) {
-        return new MemberRecord(node, incarnation, version, state, END, END, new Place("r", "d"), "s", 0, 0);
+        return new MemberRecord(node, incarnation, version, state, END, END, new Location("r", "d"), "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/membership/SelfRecordTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/membership/SelfRecordTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -36,6 +36,6 @@
     }
 
     private static MemberRecord record(long incarnation, MemberState state) {
-        return new MemberRecord("n", incarnation, 3, state, HERE, HERE, new Place("r", "d"), "s", 0, 0);
+        return new MemberRecord("n", incarnation, 3, state, HERE, HERE, new Location("r", "d"), "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/message/RecordingLink.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void awaiting(int more) {
+    public void adjustAwaited(int more) {
         // Nobody looks at it in tests.
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/KeyTableTest.java
@@ -13,9 +13,9 @@
 /** Tests {@link KeyTable}. */
 final class KeyTableTest {
     private static final long RETENTION = 100;
-    private static final KeptAnswer ANSWER = new KeptAnswer.Whole(200, List.of(), new byte[] {1});
+    private static final StoredOutcome ANSWER = new StoredOutcome.CompleteAnswer(200, List.of(), new byte[] {1});
 
-    private final KeyTable table = KeyTable.keeping(RETENTION);
+    private final KeyTable table = KeyTable.withRetention(RETENTION);
 
     @Test
     void grantsAKeyOnce() {
@@ -26,7 +26,7 @@
     @Test
     void tellsLaterTriesTheOutcome() {
         table.claim("k", 1, 0);
-        List<KeptAnswer> told = new ArrayList<>();
+        List<StoredOutcome> told = new ArrayList<>();
         ((KeyTable.Claim.Taken) table.claim("k", 1, 0)).outcome().accept(told::add);
         table.settle("k", ANSWER, 5);
         ((KeyTable.Claim.Taken) table.claim("k", 1, 6)).outcome().accept(told::add);
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsRotationTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsRotationTest.java
@@ -43,6 +43,6 @@
         seen.claim(ID);
         seen.rotate(() -> 102);
         seen.rotate(() -> 200);
-        assertFalse(seen.claim(ID) && seen.reachesBackTo(101));
+        assertFalse(seen.claim(ID) && seen.coversSince(101));
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/once/SeenCallsTest.java
@@ -34,13 +34,13 @@
     @Test
     public void reachesBackAsFarAsItKeepsIds() {
         SeenCalls seen = SeenCalls.startingAt(10);
-        assertFalse(seen.reachesBackTo(9));
-        assertTrue(seen.reachesBackTo(10));
+        assertFalse(seen.coversSince(9));
+        assertTrue(seen.coversSince(10));
         seen.rotate(() -> 20);
-        assertTrue(seen.reachesBackTo(10));
+        assertTrue(seen.coversSince(10));
         seen.rotate(() -> 30);
-        assertFalse(seen.reachesBackTo(19));
-        assertTrue(seen.reachesBackTo(20));
+        assertFalse(seen.coversSince(19));
+        assertTrue(seen.coversSince(20));
     }
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.message.RecordingLink;
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.serve.KeyClaims;
 import org.verbenadyke.kernel.serve.LocalUpstream;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -35,7 +35,7 @@
     private static final String KEY = "a-key";
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
-    private final MemberRecord leaving = record("b", 1).in(MemberState.DRAINING, 0);
+    private final MemberRecord leaving = record("b", 1).withState(MemberState.DRAINING, 0);
     private final LocalUpstream owner = upstream(record("a", 1));
     private final MemberTable table = MemberTable.empty();
     private final KeyOwners asking = owners(table);
@@ -70,18 +70,19 @@
     }
 
     private KeyOwners owners(MemberTable members) {
-        OwnerSettings settings = OwnerSettings.keeping(RETENTION);
+        OwnerSettings settings = OwnerSettings.withRetention(RETENTION);
         return KeyOwners.create(OwnerView.of(members, clock, settings, r -> false), settings, clock, () -> false);
     }
 
     private LocalUpstream upstream(MemberRecord record) {
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.keeping(RETENTION), clock);
+        return LocalUpstream.of(
+                record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
         Endpoint endpoint = new Endpoint("10.0.0.1", 1);
-        Place place = new Place("r", "d");
+        Location place = new Location("r", "d");
         return new MemberRecord(name, incarnation, 0, MemberState.ALIVE, endpoint, endpoint, place, "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/OwnerViewTest.java
@@ -13,7 +13,7 @@
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.once.Ownership;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
@@ -28,12 +28,12 @@
 final class OwnerViewTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long RETENTION = 120 * SECOND;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint END = new Endpoint("10.0.0.1", 1);
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
     private final MemberTable table = MemberTable.empty();
-    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.keeping(RETENTION), r -> false);
+    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.withRetention(RETENTION), r -> false);
 
     @Test
     void onlyTheHighestRankOwnsAKey() {
@@ -64,7 +64,7 @@
         clock.advance(2 * RETENTION);
         String before = keyNow();
         clock.advance(SECOND);
-        table.merge(record("b", 1).in(MemberState.DEAD, clock.wallMillis()), clock.nanos());
+        table.merge(record("b", 1).withState(MemberState.DEAD, clock.wallMillis()), clock.nanos());
         assertInstanceOf(Ownership.Uncertain.class, view.of(a, before));
         clock.advance(3 * SECOND);
         assertInstanceOf(Ownership.Owned.class, view.of(a, keyNow()));
@@ -81,7 +81,7 @@
         clock.advance(2 * RETENTION);
         String before = keyNow();
         view.handedOn(b.upstreamId());
-        table.merge(b.in(MemberState.LEFT, clock.wallMillis()), clock.nanos());
+        table.merge(b.withState(MemberState.LEFT, clock.wallMillis()), clock.nanos());
         assertInstanceOf(Ownership.Owned.class, view.of(a, before));
     }
 
@@ -99,7 +99,7 @@
     void asksAnUpstreamThatDrains() {
         LocalUpstream a = member("a", 1);
         MemberRecord b = record("b", 1);
-        table.merge(b.in(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
+        table.merge(b.withState(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
         clock.advance(2 * RETENTION);
         assertEquals(1, ((Ownership.Owned) view.of(a, keyNow())).askFirst().size());
     }
@@ -112,7 +112,8 @@
         MemberRecord record = record(name, incarnation);
         table.merge(record, clock.nanos());
         Gate gate = Gate.of(GateSettings.standard(), FixedLimit.of(1));
-        return LocalUpstream.of(record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.keeping(RETENTION), clock);
+        return LocalUpstream.of(
+                record.upstreamId(), "s", (h, l) -> null, gate, KeyTable.withRetention(RETENTION), clock);
     }
 
     private static MemberRecord record(String name, long incarnation) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/VouchingTest.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.once.KeyTable;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.serve.LocalUpstream;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -25,7 +25,7 @@
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(1_800_000_000_000L);
     private final MemberTable table = MemberTable.empty();
-    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.keeping(RETENTION), r -> false);
+    private final OwnerView view = OwnerView.of(table, clock, OwnerSettings.withRetention(RETENTION), r -> false);
 
     /** The one that leaves owned the key until now; the newcomer has not heard of it and so does not ask it. */
     @Test
@@ -33,13 +33,13 @@
         MemberRecord here = record("here");
         MemberRecord leaving = record("leaving");
         table.merge(here, clock.nanos());
-        table.merge(leaving.in(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
+        table.merge(leaving.withState(MemberState.DRAINING, clock.wallMillis()), clock.nanos());
         LocalUpstream local = LocalUpstream.of(
                 here.upstreamId(),
                 "s",
                 (h, l) -> null,
                 Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-                KeyTable.keeping(RETENTION),
+                KeyTable.withRetention(RETENTION),
                 clock);
         clock.advance(2 * RETENTION);
         String key = IntStream.iterate(0, i -> i + 1)
@@ -57,6 +57,6 @@
 
     private static MemberRecord record(String name) {
         Endpoint endpoint = new Endpoint("10.0.0.1", 1);
-        return new MemberRecord(name, 1, 0, MemberState.ALIVE, endpoint, endpoint, new Place("r", "d"), "s", 0, 0);
+        return new MemberRecord(name, 1, 0, MemberState.ALIVE, endpoint, endpoint, new Location("r", "d"), "s", 0, 0);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -38,48 +38,48 @@
 
     @Test
     void holdsARequestBackFromTheThirdEndOn() {
-        quarantine.ended(BAD, "u1");
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u2");
-        assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u3");
-        assertHeld(20, quarantine.atUpstream(BAD));
-        assertHeld(20, quarantine.atEntry(BAD));
+        quarantine.recordCrash(BAD, "u1");
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
+        quarantine.recordCrash(BAD, "u2");
+        assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
+        quarantine.recordCrash(BAD, "u3");
+        assertHeld(20, quarantine.statusAtUpstream(BAD));
+        assertHeld(20, quarantine.statusAtEntry(BAD));
         assertEquals(1, counters.events(Event.QUARANTINE_BEGUN));
     }
 
     @Test
     void holdsNoOtherRequestBack() {
         endThree();
-        assertEquals(Standing.FREE, quarantine.atEntry(SAME_PATH));
-        assertEquals(Standing.FREE, quarantine.atUpstream(OTHER));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtEntry(SAME_PATH));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(OTHER));
     }
 
     @Test
     void countsAnEndOnceWhoeverTellsOfItAndPassesItOnOnce() {
-        List<UpstreamEnd> news = new ArrayList<>();
+        List<UpstreamCrash> news = new ArrayList<>();
         quarantine.onNews(news::add);
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u1");
         for (String teller : List.of("n1", "n2", "n3")) {
-            quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u1", false, clock.nanos(), teller));
+            quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), teller));
         }
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         assertEquals(1, news.size());
-        quarantine.ended(BAD, "u2");
-        assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
+        quarantine.recordCrash(BAD, "u2");
+        assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
     }
 
     @Test
     void takesAnAnswerForProofThatTheRequestWasNotTheCause() {
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u2");
-        quarantine.answered(SAME_PATH);
-        assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
-        quarantine.answered(BAD);
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
-        quarantine.ended(BAD, "u3");
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u2");
+        quarantine.recordAnswer(SAME_PATH);
+        assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
+        quarantine.recordAnswer(BAD);
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
+        quarantine.recordCrash(BAD, "u3");
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
     }
 
     @Test
@@ -88,30 +88,30 @@
         turnsHere.add(2L);
         assertEquals(Optional.of("s-0"), quarantine.trialUpstream(BAD, "s"));
         clock.advance(20 * SECOND);
-        assertEquals(Standing.ALONE, quarantine.atEntry(BAD));
-        assertHeld(1, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtEntry(BAD));
+        assertHeld(1, quarantine.statusAtUpstream(BAD));
         clock.advance(2 * SECOND);
-        assertEquals(Standing.ALONE, quarantine.atUpstream(BAD));
+        assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
         assertEquals(Optional.of("s-2"), quarantine.trialUpstream(BAD, "s"));
         assertEquals(Optional.empty(), quarantine.trialUpstream(SAME_PATH, "s"));
         clock.advance(SECOND);
-        assertHeld(1, quarantine.atUpstream(BAD));
-        quarantine.ended(BAD, "u4");
-        assertHeld(80, quarantine.atEntry(BAD));
+        assertHeld(1, quarantine.statusAtUpstream(BAD));
+        quarantine.recordCrash(BAD, "u4");
+        assertHeld(80, quarantine.statusAtEntry(BAD));
         clock.advance(80 * SECOND);
-        quarantine.ended(BAD, "u5");
-        assertHeld(320, quarantine.atEntry(BAD));
+        quarantine.recordCrash(BAD, "u5");
+        assertHeld(320, quarantine.statusAtEntry(BAD));
         clock.advance(320 * SECOND);
-        quarantine.ended(BAD, "u6");
-        assertHeld(600, quarantine.atEntry(BAD));
+        quarantine.recordCrash(BAD, "u6");
+        assertHeld(600, quarantine.statusAtEntry(BAD));
     }
 
     @Test
     void letsARequestGoThatWasAnsweredInATrial() {
         endThree();
         clock.advance(20 * SECOND);
-        quarantine.answered(BAD);
-        assertEquals(Standing.FREE, quarantine.atUpstream(BAD));
+        quarantine.recordAnswer(BAD);
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         assertEquals(1, counters.events(Event.QUARANTINE_LIFTED));
     }
 
@@ -119,13 +119,14 @@
     void tellsACallerWhenItMayBeTriedAgainAndWhy() {
         endThree();
         clock.advance(SECOND);
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
         decisions.clear();
-        Standing.Held held = assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
+        QuarantineStatus.Quarantined held =
+                assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
         Refusal refusal = quarantine.refusal(new RequestId(1, 2), held);
         assertEquals(new Refusal(RunState.NOT_RUN, RefusalReason.QUARANTINED, 79_001), refusal);
         assertEquals(
-                List.of(new Decision.HeldBack(
+                List.of(new Decision.QuarantineRefused(
                         new RequestId(1, 2),
                         RequestDigest.of(BAD),
                         79_001,
@@ -137,27 +138,27 @@
     @Test
     void knowsTheSameAsOthersInWhateverOrderItLearns() {
         Quarantine other = Quarantine.alone(clock);
-        quarantine.ended(BAD, "u1");
-        quarantine.answered(BAD);
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordAnswer(BAD);
         endThree();
         assertNotEquals(other.fingerprint(), quarantine.fingerprint());
-        quarantine.ends(100).reversed().forEach(other::hear);
+        quarantine.crashes(100).reversed().forEach(other::hear);
         assertEquals(quarantine.fingerprint(), other.fingerprint());
-        assertEquals(quarantine.atEntry(BAD), other.atEntry(BAD));
+        assertEquals(quarantine.statusAtEntry(BAD), other.statusAtEntry(BAD));
     }
 
     @Test
     void tellsTheLogOfRequestsOfWhichItSawAnEnd() {
         List<RequestDigest> told = new ArrayList<>();
         quarantine.onHeld(told::add);
-        quarantine.ended(BAD, "u1");
-        quarantine.ended(BAD, "u2");
-        quarantine.hear(new UpstreamEnd(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
+        quarantine.recordCrash(BAD, "u1");
+        quarantine.recordCrash(BAD, "u2");
+        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
         assertEquals(1, told.size());
-        quarantine.ended(BAD, "u4");
-        quarantine.answered(BAD);
+        quarantine.recordCrash(BAD, "u4");
+        quarantine.recordAnswer(BAD);
         for (String upstream : List.of("u1", "u2", "u3")) {
-            quarantine.hear(new UpstreamEnd(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
+            quarantine.hear(new UpstreamCrash(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
         }
         assertEquals(Collections.nCopies(3, RequestDigest.of(BAD)), told);
     }
@@ -166,28 +167,28 @@
     void isAsBeforeAfterAllNodesHaveStartedAnew() {
         endThree();
         clock.advance(5 * SECOND);
-        HeldRequest held = quarantine.record(RequestDigest.of(BAD)).orElseThrow();
+        QuarantinedRequest held = quarantine.record(RequestDigest.of(BAD)).orElseThrow();
         clock.advance(5 * SECOND);
         Quarantine anew = Quarantine.alone(clock);
         anew.restore(held);
-        assertHeld(10, anew.atEntry(BAD));
-        quarantine.answered(BAD);
+        assertHeld(10, anew.statusAtEntry(BAD));
+        quarantine.recordAnswer(BAD);
         anew.restore(quarantine.record(RequestDigest.of(BAD)).orElseThrow());
-        assertEquals(Standing.FREE, anew.atEntry(BAD));
+        assertEquals(QuarantineStatus.UNRESTRICTED, anew.statusAtEntry(BAD));
         assertEquals(Optional.empty(), quarantine.record(RequestDigest.of(OTHER)));
     }
 
     @Test
     void forgetsWhatIsPastItsTime() {
-        quarantine.ended(OTHER, "u1");
+        quarantine.recordCrash(OTHER, "u1");
         endThree();
         clock.advance(610 * SECOND);
         quarantine.sweep();
-        assertEquals(3, quarantine.ends(100).size());
+        assertEquals(3, quarantine.crashes(100).size());
         clock.advance(20 * SECOND);
         quarantine.sweep();
-        assertEquals(List.of(), quarantine.ends(100));
-        assertEquals(Standing.FREE, quarantine.atEntry(BAD));
+        assertEquals(List.of(), quarantine.crashes(100));
+        assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtEntry(BAD));
     }
 
     @Test
@@ -196,23 +197,23 @@
         int most = QuarantineSettings.standard().endsMost();
         for (int i = 0; i < 2 * most; i++) {
             clock.advance(1_000);
-            quarantine.ended(content("/flood/" + i, ""), "u9");
+            quarantine.recordCrash(content("/flood/" + i, ""), "u9");
         }
         quarantine.sweep();
-        assertTrue(quarantine.ends(Integer.MAX_VALUE).size() <= most);
-        assertInstanceOf(Standing.Held.class, quarantine.atEntry(BAD));
+        assertTrue(quarantine.crashes(Integer.MAX_VALUE).size() <= most);
+        assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
     }
 
     private void endThree() {
         for (String upstream : List.of("u1", "u2", "u3")) {
-            quarantine.ended(BAD, upstream);
+            quarantine.recordCrash(BAD, upstream);
         }
     }
 
-    private static void assertHeld(long seconds, Standing standing) {
+    private static void assertHeld(long seconds, QuarantineStatus standing) {
         assertEquals(
                 seconds * SECOND,
-                assertInstanceOf(Standing.Held.class, standing).nanos());
+                assertInstanceOf(QuarantineStatus.Quarantined.class, standing).nanos());
     }
 
     /** Names an upstream after its service and the turn. */
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.message.Link;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 import org.verbenadyke.kernel.team.RateLimit;
 import org.verbenadyke.kernel.team.Team;
 import org.verbenadyke.kernel.time.VirtualTimerService;
@@ -82,12 +82,12 @@
                 .substring(1));
     }
 
-    void admit(int node, String team, TeamLimiter.Taker callback) {
+    void admit(int node, String team, TeamLimiter.AdmissionCallback callback) {
         nodes.get(node).limiter.admit(teams.get(team), callback);
     }
 
     void returnPermit(int node, String team) {
-        nodes.get(node).limiter.giveBack(teams.get(team));
+        nodes.get(node).limiter.returnPermit(teams.get(team));
     }
 
     void kill(int node) {
@@ -174,7 +174,8 @@
 
         private MemberRecord record(MemberState state) {
             Endpoint at = new Endpoint("h", number + 1);
-            return new MemberRecord("n" + number, incarnation, version, state, at, at, new Place("r", "d"), "s", 0, 0);
+            return new MemberRecord(
+                    "n" + number, incarnation, version, state, at, at, new Location("r", "d"), "s", 0, 0);
         }
 
         private void learn(Node other, MemberState state) {
@@ -239,13 +240,13 @@
         }
 
         @Override
-        public void awaiting(int more) {
+        public void adjustAwaited(int more) {
             // Nobody watches the link.
         }
     }
 
     /** Counts the outcomes of one team's requests, and how many a single bucket that sees all of them would refuse. */
-    static final class Tally implements TeamLimiter.Taker {
+    static final class Tally implements TeamLimiter.AdmissionCallback {
         private final VirtualTimerService clock;
         private final List<Long> admittedAt = new ArrayList<>();
         private int limited;
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/TeamLimiterTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/TeamLimiterTest.java
@@ -93,7 +93,7 @@
     }
 
     /** The outcome of a request. */
-    private static final class Outcome implements TeamLimiter.Taker {
+    private static final class Outcome implements TeamLimiter.AdmissionCallback {
         private boolean admitted;
         private Refusal refusal;
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/PlanKeeperTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/PlanKeeperTest.java
@@ -10,10 +10,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link PlanKeeper}. */
+/** Tests {@link RoutePlanStore}. */
 final class PlanKeeperTest {
     private final List<String> told = new ArrayList<>();
-    private final PlanKeeper keeper = PlanKeeper.create(PlanKeeperTest::read, Counters.create(), new Told());
+    private final RoutePlanStore keeper = RoutePlanStore.create(PlanKeeperTest::read, Counters.create(), new Told());
 
     @Test
     void neverGoesBack() {
@@ -37,7 +37,7 @@
 
     @Test
     void hasNothingAtFirst() {
-        assertEquals(PlanKeeper.NONE, keeper.version());
+        assertEquals(RoutePlanStore.NO_VERSION, keeper.version());
         assertTrue(keeper.plan().isEmpty());
         assertTrue(keeper.document().isEmpty());
     }
@@ -50,7 +50,7 @@
     private static RoutePlan read(byte[] document) {
         String text = new String(document, StandardCharsets.US_ASCII);
         if (!text.matches("-?\\d+")) {
-            throw PlanKeeper.unreadable(text);
+            throw RoutePlanStore.unreadable(text);
         }
         long version = Long.parseLong(text);
         List<Route> routes = version < 0 ? List.of(RoutePlanTest.route("r", "h", "/", "unknown")) : List.of();
@@ -58,7 +58,7 @@
     }
 
     /** Notes what is told. */
-    private final class Told implements PlanKeeper.Listener {
+    private final class Told implements RoutePlanStore.Listener {
         @Override
         public void applied(RoutePlan plan, long before, String source) {
             told.add(plan.version() + " after " + before);
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/SplitCursorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/SplitCursorTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link SplitCursor}. */
+/** Tests {@link TrafficSplitter}. */
 final class SplitCursorTest {
     private static final int MOST_OFF = 2;
 
@@ -15,7 +15,7 @@
     void keepsCloseToTheWeightsAtEveryLength() {
         Route route = split(new ServiceShare("a", 90), new ServiceShare("b", 10));
         for (int start : new int[] {0, 1, -5, Integer.MAX_VALUE, 123_456_789}) {
-            SplitCursor cursor = SplitCursor.startingAt(start);
+            TrafficSplitter cursor = TrafficSplitter.startingAt(start);
             int minor = 0;
             for (int n = 1; n <= 1_000; n++) {
                 minor += cursor.next(route).equals("b") ? 1 : 0;
@@ -27,7 +27,7 @@
     @Test
     void givesNothingToAPartWithoutWeight() {
         Route route = split(new ServiceShare("a", 0), new ServiceShare("b", 3), new ServiceShare("c", 0));
-        SplitCursor cursor = SplitCursor.startingAt(-1);
+        TrafficSplitter cursor = TrafficSplitter.startingAt(-1);
         for (int n = 0; n < 100; n++) {
             assertEquals("b", cursor.next(route));
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
@@ -70,10 +70,10 @@
             for (int i = 0; i < speeds.length; i++) {
                 speed += speeds[i];
                 servers.add(new Server(speeds[i]));
-                upstreams.add(new Upstream("u" + i, "s", AT, new Place("r", CENTRES.get(i))));
+                upstreams.add(new Upstream("u" + i, "s", AT, new Location("r", CENTRES.get(i))));
             }
             for (int i = 0; i < SENDERS; i++) {
-                Place place = new Place("r", CENTRES.get(i % CENTRES.size()));
+                Location place = new Location("r", CENTRES.get(i % CENTRES.size()));
                 Router router =
                         Router.create("n" + i, place, 12, new ExpectedFinishProvider().create(), () -> random, true);
                 router.update(upstreams);
@@ -140,7 +140,7 @@
             private void finish(Call call) {
                 inFlight--;
                 Message.Report report =
-                        new Message.Report(inFlight + queue.size(), PLACES, 0, 0, false, Message.Below.NOTHING);
+                        new Message.Report(inFlight + queue.size(), PLACES, 0, 0, false, Message.DeeperLevel.NONE);
                 after(call.trip(), () -> arrive(call, report));
                 if (!queue.isEmpty()) {
                     take(queue.poll());
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -14,41 +14,42 @@
 /** Tests {@link ServiceLevels} and what {@link Router} makes of them. */
 final class ServiceLevelsTest {
     private static final long MILLI = 1_000_000L;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
     private static final String PATH = "GET /lookup";
 
-    private final ServiceLevels levels = ServiceLevels.unknown();
+    private final ServiceLevels levels = ServiceLevels.empty();
 
     @Test
     void takesTheYoungerWord() {
-        heard("front-1", "front", PATH, 0, new Message.Below("deep", 200, 300), 1_000);
-        heard("front-2", "front", PATH, 0, new Message.Below("deep", 90, 400), 1_010);
+        heard("front-1", "front", PATH, 0, new Message.DeeperLevel("deep", 200, 300), 1_000);
+        heard("front-2", "front", PATH, 0, new Message.DeeperLevel("deep", 90, 400), 1_010);
         assertEquals(200, levels.below("front", PATH, 1_020 * MILLI));
-        heard("front-2", "front", PATH, 0, new Message.Below("deep", 90, 10), 1_030);
+        heard("front-2", "front", PATH, 0, new Message.DeeperLevel("deep", 90, 10), 1_030);
         assertEquals(90, levels.below("front", PATH, 1_040 * MILLI));
     }
 
     @Test
     void takesTheLowestOfTheUpstreamsHeardOfLately() {
-        heard("deep-1", "deep", "GET /geo", 200, Message.Below.NOTHING, 1_000);
-        heard("deep-2", "deep", "GET /geo", 120, Message.Below.NOTHING, 1_100);
-        assertEquals(new Message.Below("deep", 120, 50), levels.highest(Set.of("deep"), 1_150 * MILLI));
-        heard("deep-1", "deep", "GET /geo", 210, Message.Below.NOTHING, 1_500);
-        assertEquals(new Message.Below("deep", 210, 0), levels.highest(Set.of("deep"), 1_500 * MILLI));
+        heard("deep-1", "deep", "GET /geo", 200, Message.DeeperLevel.NONE, 1_000);
+        heard("deep-2", "deep", "GET /geo", 120, Message.DeeperLevel.NONE, 1_100);
+        assertEquals(new Message.DeeperLevel("deep", 120, 50), levels.strictestLevel(Set.of("deep"), 1_150 * MILLI));
+        heard("deep-1", "deep", "GET /geo", 210, Message.DeeperLevel.NONE, 1_500);
+        assertEquals(new Message.DeeperLevel("deep", 210, 0), levels.strictestLevel(Set.of("deep"), 1_500 * MILLI));
     }
 
     @Test
     void tellsOfTheServiceThatRefusesMost() {
-        heard("a-1", "a", "GET /x", 10, Message.Below.NOTHING, 1_000);
-        heard("b-1", "b", "GET /x", 30, Message.Below.NOTHING, 1_000);
-        assertEquals("b", levels.highest(Set.of("a", "b", "c"), 1_010 * MILLI).service());
-        assertEquals(Message.Below.NOTHING, levels.highest(Set.of(), 1_010 * MILLI));
+        heard("a-1", "a", "GET /x", 10, Message.DeeperLevel.NONE, 1_000);
+        heard("b-1", "b", "GET /x", 30, Message.DeeperLevel.NONE, 1_000);
+        assertEquals(
+                "b", levels.strictestLevel(Set.of("a", "b", "c"), 1_010 * MILLI).service());
+        assertEquals(Message.DeeperLevel.NONE, levels.strictestLevel(Set.of(), 1_010 * MILLI));
     }
 
     @Test
     void forgetsWhatIsNotToldAgain() {
-        heard("front-1", "front", PATH, 0, new Message.Below("deep", 200, 0), 1_000);
+        heard("front-1", "front", PATH, 0, new Message.DeeperLevel("deep", 200, 0), 1_000);
         assertEquals(200, levels.below("front", PATH, 1_400 * MILLI));
         assertEquals(0, levels.below("front", PATH, 2_000 * MILLI));
         assertEquals(0, levels.below("front", "GET /other", 1_010 * MILLI));
@@ -64,19 +65,19 @@
             upstreams.add(new Upstream("front-" + i, "front", AT, PLACE));
         }
         router.update(upstreams);
-        report(router, "front-3", PATH, new Message.Below("deep", 0, 0), 1_000);
+        report(router, "front-3", PATH, new Message.DeeperLevel("deep", 0, 0), 1_000);
         assertInstanceOf(Choice.To.class, route(router, 100, 9_000));
-        report(router, "mid-1", "GET /status", new Message.Below("deep", 200, 20), 9_010);
+        report(router, "mid-1", "GET /status", new Message.DeeperLevel("deep", 200, 20), 9_010);
         assertEquals(new Choice.Shed(200), route(router, 100, 9_030));
         assertInstanceOf(Choice.To.class, route(router, 200, 9_030));
     }
 
-    private void heard(String id, String service, String path, int level, Message.Below below, long millis) {
+    private void heard(String id, String service, String path, int level, Message.DeeperLevel below, long millis) {
         Message.Report report = new Message.Report(1, 10, level, level, false, below);
         levels.heard(new Upstream(id, service, AT, PLACE), path, report, millis * MILLI);
     }
 
-    private static void report(Router router, String id, String path, Message.Below below, long millis) {
+    private static void report(Router router, String id, String path, Message.DeeperLevel below, long millis) {
         Candidate from = router.candidates().stream()
                 .filter(c -> c.upstream().id().equals(id))
                 .findFirst()
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -23,7 +23,7 @@
     private static final long END = 14_000 * MILLI;
     private static final double SHED_SHARE = 0.45;
     private static final int PLACES = 40;
-    private static final Place PLACE = new Place("r", "d");
+    private static final Location PLACE = new Location("r", "d");
     private static final Endpoint AT = new Endpoint("127.0.0.1", 1);
 
     private final SplittableRandom random = new SplittableRandom(5);
@@ -79,7 +79,7 @@
             return;
         }
         to.ended();
-        to.reported("", new Message.Report(0, PLACES, 0, 0, false, Message.Below.NOTHING), now);
+        to.reported("", new Message.Report(0, PLACES, 0, 0, false, Message.DeeperLevel.NONE), now);
         if (noted) {
             to.shed(now);
         }
@@ -94,7 +94,7 @@
     private record Answer(long atNanos, Candidate from) {
         void arrive() {
             from.ended();
-            from.reported("", new Message.Report(PLACES / 4, PLACES, 0, 0, false, Message.Below.NOTHING), atNanos);
+            from.reported("", new Message.Report(PLACES / 4, PLACES, 0, 0, false, Message.DeeperLevel.NONE), atNanos);
             from.succeeded(SERVICE_NANOS);
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -46,8 +46,8 @@
                     clock,
                     () -> new SplittableRandom(1),
                     counters,
-                    Ledger.watching(breaches::add),
-                    ServiceLevels.unknown(),
+                    Ledger.reportingTo(breaches::add),
+                    ServiceLevels.empty(),
                     KeyClaims.alone(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
@@ -57,7 +57,7 @@
             "s",
             this::start,
             Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-            KeyTable.keeping(60_000 * MILLI),
+            KeyTable.withRetention(60_000 * MILLI),
             clock);
     private String token = "";
     private long sequence;
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
@@ -39,8 +39,8 @@
                     clock,
                     () -> new SplittableRandom(1),
                     Counters.create(),
-                    Ledger.off(),
-                    ServiceLevels.unknown(),
+                    Ledger.disabled(),
+                    ServiceLevels.empty(),
                     KeyClaims.alone(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
@@ -53,7 +53,7 @@
                 return null;
             },
             Gate.of(GateSettings.standard(), FixedLimit.of(1)),
-            KeyTable.keeping(60_000 * MILLI),
+            KeyTable.withRetention(60_000 * MILLI),
             clock);
 
     KnownFateTest() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/time/TurnPacingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/time/TurnPacingTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link TurnPacing}. */
+/** Tests {@link EventLoopPacing}. */
 final class TurnPacingTest {
     private static final long MILLI = 1_000_000L;
 
@@ -18,33 +18,33 @@
 
     @Test
     void neverRestsWhenTurnsAreFarApart() {
-        TurnPacing pacing = TurnPacing.quiet();
+        EventLoopPacing pacing = EventLoopPacing.quiet();
         for (long t = 0; t < 100; t++) {
-            assertEquals(0, pacing.turnEnded(t * 10 * MILLI));
+            assertEquals(0, pacing.iterationEnded(t * 10 * MILLI));
         }
     }
 
     @Test
     void twoEventsInARowDontMakeALoopBusy() {
-        TurnPacing pacing = TurnPacing.quiet();
+        EventLoopPacing pacing = EventLoopPacing.quiet();
         for (long t = 0; t < 100; t++) {
-            assertEquals(0, pacing.turnEnded(t * 10 * MILLI));
-            assertEquals(0, pacing.turnEnded(t * 10 * MILLI + MILLI / 10));
+            assertEquals(0, pacing.iterationEnded(t * 10 * MILLI));
+            assertEquals(0, pacing.iterationEnded(t * 10 * MILLI + MILLI / 10));
         }
     }
 
     @Test
     void restsUnderLoadAndStopsWhenItIsOver() {
-        TurnPacing pacing = TurnPacing.quiet();
+        EventLoopPacing pacing = EventLoopPacing.quiet();
         long now = 0;
         for (int i = 0; i < 20; i++) {
             now += MILLI / 2;
-            pacing.turnEnded(now);
+            pacing.iterationEnded(now);
         }
-        assertEquals(TurnPacing.REST_NANOS, pacing.turnEnded(now + MILLI / 2));
+        assertEquals(EventLoopPacing.REST_NANOS, pacing.iterationEnded(now + MILLI / 2));
         now += 20 * MILLI;
-        pacing.turnEnded(now);
-        assertEquals(0, pacing.turnEnded(now + 20 * MILLI));
+        pacing.iterationEnded(now);
+        assertEquals(0, pacing.iterationEnded(now + 20 * MILLI));
     }
 
     /** Replays a node's events under a heavy load: some thousand a second, at random moments. */
@@ -53,7 +53,7 @@
         Replay without = replay(3_000, false);
         Replay with = replay(3_000, true);
         assertTrue(with.busyNanos() < without.busyNanos() / 2, with + " against " + without);
-        assertTrue(with.longestWaitNanos() < 3 * TurnPacing.REST_NANOS, with.toString());
+        assertTrue(with.longestWaitNanos() < 3 * EventLoopPacing.REST_NANOS, with.toString());
     }
 
     @Test
@@ -63,7 +63,7 @@
 
     private static Replay replay(int eventsASecond, boolean paced) {
         Random random = new Random(7);
-        TurnPacing pacing = TurnPacing.quiet();
+        EventLoopPacing pacing = EventLoopPacing.quiet();
         double meanGap = 1e9 / eventsASecond;
         long next = 0;
         long now = 0;
@@ -79,7 +79,7 @@
                 now += EVENT;
                 busy += EVENT;
             }
-            now += paced ? pacing.turnEnded(now) : 0;
+            now += paced ? pacing.iterationEnded(now) : 0;
         }
         return new Replay(busy, longest);
     }
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -21,7 +21,7 @@
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
-import org.verbenadyke.kernel.route.PlanKeeper;
+import org.verbenadyke.kernel.route.RoutePlanStore;
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.node.control.ControlService;
 import org.verbenadyke.node.control.LocalService;
@@ -35,8 +35,8 @@
 import org.verbenadyke.node.transport.SharedLoops;
 import org.verbenadyke.node.transport.UdpPort;
 import org.verbenadyke.wire.ConfigCodec;
-import org.verbenadyke.wire.HeldCodec;
 import org.verbenadyke.wire.MemberCodec;
+import org.verbenadyke.wire.QuarantinedRequestCodec;
 
 import io.servicetalk.http.api.HttpExecutionStrategies;
 import io.servicetalk.http.api.HttpServerContext;
@@ -73,7 +73,7 @@
         this.settings = settings;
         this.io = NettyIoExecutors.createIoExecutor(settings.ioThreads(), "io");
         this.transport = NettyTransport.on(SharedLoops.of(io), counters);
-        this.ledger = settings.ledger() ? Ledger.watching(this::breached) : Ledger.off();
+        this.ledger = settings.ledger() ? Ledger.reportingTo(this::breached) : Ledger.disabled();
         long incarnation = timers.wallMillis() << INCARNATION_SHIFT | new SecureRandom().nextLong() & INCARNATION_MASK;
         LogService log = settings.logs().<LogService>map(a -> HttpLog.at(a, io)).orElseGet(AbsentLog::create);
         DecisionLogger decisions = DecisionLogger.on(timers);
@@ -97,10 +97,10 @@
                 datagrams,
                 log,
                 MemberCodec.create(),
-                HeldCodec.create(),
+                QuarantinedRequestCodec.create(),
                 ConfigCodec.create(),
                 ThreadLocalRandom::current,
-                PlanKeeper.absent(),
+                RoutePlanStore.disabled(),
                 counters,
                 ledger,
                 decisions);
@@ -205,14 +205,14 @@
 
     private boolean busy() {
         return core.engine().server().unfinished() > 0
-                || core.engine().dispatcher().underWay() > 0;
+                || core.engine().dispatcher().inFlight() > 0;
     }
 
     private void breached(Breach breach) {
         counters.count(Event.INVARIANT_BREACHED);
         LOG.error(
                 "{} {}: {}.",
-                VerbenadykeException.describe(ErrorCode.INVARIANT_BREACHED, breach.promise()),
+                VerbenadykeException.describe(ErrorCode.INVARIANT_BREACHED, breach.invariant()),
                 breach.subject(),
                 breach.history());
     }
--- a/node/src/main/java/org/verbenadyke/node/NodeMain.java
+++ b/node/src/main/java/org/verbenadyke/node/NodeMain.java
@@ -7,9 +7,9 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.verbenadyke.kernel.error.VerbenadykeException;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 import org.verbenadyke.node.settings.NodeSettings;
 import org.verbenadyke.node.settings.NodeSettingsReader;
-import org.verbenadyke.node.settings.SettingsProblems;
 
 import picocli.CommandLine;
 
@@ -57,7 +57,7 @@
         NodeSettings settings;
         try {
             settings = NodeSettingsReader.read(file);
-        } catch (SettingsProblems e) {
+        } catch (InvalidSettingsException e) {
             e.problems().forEach(System.err::println);
             return EXIT_SETTINGS;
         } catch (VerbenadykeException e) {
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -12,13 +12,13 @@
 import org.verbenadyke.kernel.config.ConfigEntry;
 import org.verbenadyke.kernel.config.ConfigState;
 import org.verbenadyke.kernel.config.Configuration;
-import org.verbenadyke.kernel.config.Confirmed;
+import org.verbenadyke.kernel.config.ConfirmOutcome;
 import org.verbenadyke.kernel.core.NodeCore;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.membership.MemberRecord;
-import org.verbenadyke.kernel.plan.PlanProblems;
-import org.verbenadyke.kernel.plan.Planner;
+import org.verbenadyke.kernel.plan.ChangePlanner;
+import org.verbenadyke.kernel.plan.InvalidIntentsException;
 import org.verbenadyke.kernel.plan.ServiceView;
 import org.verbenadyke.kernel.routing.Candidate;
 
@@ -45,13 +45,13 @@
 
     String plan(String body) {
         try {
-            return PlanJson.of(Planner.plan(
+            return PlanJson.of(ChangePlanner.plan(
                             UUID.randomUUID().toString(),
                             core.engine().configuration(),
                             PlanJson.intents(PlanJson.parse(body)),
                             services()))
                     .toString();
-        } catch (PlanProblems e) {
+        } catch (InvalidIntentsException e) {
             ObjectNode node = JSON.createObjectNode();
             ArrayNode problems = node.putArray("problems");
             e.problems().forEach(problems::add);
@@ -72,7 +72,7 @@
                 return;
             }
             String id = UUID.randomUUID().toString();
-            taker.accept(PlanJson.of(Planner.undo(id, core.engine().configuration(), earlier.get(), services()))
+            taker.accept(PlanJson.of(ChangePlanner.undo(id, core.engine().configuration(), earlier.get(), services()))
                     .toString());
         });
     }
@@ -109,7 +109,7 @@
         ArrayNode decisions = node.putArray("decisions");
         for (ConfigState.Decision d : core.config().history()) {
             ObjectNode line = decisions.addObject();
-            line.put("outcome", d.won() ? "in-force" : "lost");
+            line.put("outcome", d.tookEffect() ? "in-force" : "lost");
             line.put("version", d.version());
             line.put("id", d.id());
             line.put("author", d.author());
@@ -118,25 +118,25 @@
         return node.toString();
     }
 
-    private static String words(ConfigEntry.Change change, Confirmed outcome) {
+    private static String words(ConfigEntry.Change change, ConfirmOutcome outcome) {
         ObjectNode node = JSON.createObjectNode();
         node.put("id", change.id());
         switch (outcome) {
-            case Confirmed.InForce c -> node.put("outcome", "in-force").put("version", c.version());
-            case Confirmed.Lost c ->
+            case ConfirmOutcome.InForce c -> node.put("outcome", "in-force").put("version", c.version());
+            case ConfirmOutcome.Superseded c ->
                 node.put("outcome", "lost")
                         .put("version", c.version())
                         .put(
                                 "message",
                                 VerbenadykeException.describe(ErrorCode.PLAN_STALE, change.base(), c.version()));
-            case Confirmed.NotAppended c ->
+            case ConfirmOutcome.NotAppended c ->
                 node.put("outcome", "not-appended")
                         .put(
                                 "message",
-                                VerbenadykeException.describe(ErrorCode.LOG_UNREACHABLE, "[log] address", c.why()));
-            case Confirmed.Unknown c ->
+                                VerbenadykeException.describe(ErrorCode.LOG_UNREACHABLE, "[log] address", c.reason()));
+            case ConfirmOutcome.Unknown c ->
                 node.put("outcome", "unknown")
-                        .put("message", VerbenadykeException.describe(ErrorCode.LOG_OUTCOME_UNKNOWN, c.why()));
+                        .put("message", VerbenadykeException.describe(ErrorCode.LOG_OUTCOME_UNKNOWN, c.reason()));
         }
         return node.toString();
     }
--- a/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
+++ b/node/src/main/java/org/verbenadyke/node/control/PlanJson.java
@@ -12,8 +12,8 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
+import org.verbenadyke.kernel.plan.ChangePlan;
 import org.verbenadyke.kernel.plan.Intents;
-import org.verbenadyke.kernel.plan.Plan;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -79,7 +79,7 @@
      * @param plan the plan
      * @return JSON
      */
-    public static ObjectNode of(Plan plan) {
+    public static ObjectNode of(ChangePlan plan) {
         ObjectNode node = JSON.createObjectNode();
         node.put("id", plan.id());
         node.put("base", plan.base());
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -65,7 +65,7 @@
             upstream.put("keys", u.keys().size());
         });
         node.put("links", engine.links().size());
-        node.put("requestsUnderWay", engine.dispatcher().underWay());
+        node.put("requestsUnderWay", engine.dispatcher().inFlight());
         members(node.putArray("members"));
         counters(node.putObject("counters"));
         return node.toString();
--- a/node/src/main/java/org/verbenadyke/node/http/BodySource.java
+++ b/node/src/main/java/org/verbenadyke/node/http/BodySource.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-import org.verbenadyke.kernel.concurrent.Serial;
+import org.verbenadyke.kernel.concurrent.SerialExecutor;
 
 import io.servicetalk.buffer.api.Buffer;
 import io.servicetalk.concurrent.PublisherSource;
@@ -13,7 +13,7 @@
  * fragment allows as many bytes more.
  */
 final class BodySource implements PublisherSource<Buffer> {
-    private final Serial serial = Serial.create();
+    private final SerialExecutor serial = SerialExecutor.create();
     private final Deque<Buffer> queue = new ArrayDeque<>();
     private final Taker taker;
     private Subscriber<? super Buffer> subscriber;
--- a/node/src/main/java/org/verbenadyke/node/http/RequestService.java
+++ b/node/src/main/java/org/verbenadyke/node/http/RequestService.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.call.RefusalReason;
 import org.verbenadyke.kernel.call.RunState;
 import org.verbenadyke.kernel.engine.Engine;
-import org.verbenadyke.kernel.engine.Inbound;
+import org.verbenadyke.kernel.engine.InboundRequest;
 import org.verbenadyke.kernel.message.Message;
 import org.verbenadyke.kernel.metrics.Counters;
 import org.verbenadyke.kernel.metrics.Event;
@@ -83,17 +83,17 @@
             refuse(answer, RefusalReason.BODY_TOO_LARGE);
             return;
         }
-        Optional<Inbound> inbound = inbound(request, body.bytes());
+        Optional<InboundRequest> inbound = inbound(request, body.bytes());
         if (inbound.isEmpty()) {
             refuse(answer, RefusalReason.NO_SERVICE);
             return;
         }
         Optional<String> token = header(request, HeaderNames.CONTEXT);
         if (fromUpstream && token.isPresent()) {
-            engine.callFrom(token.get(), inbound.get(), answer).ifPresent(answer::steer);
+            engine.submitNested(token.get(), inbound.get(), answer).ifPresent(answer::steer);
             return;
         }
-        answer.steer(engine.enter(inbound.get(), answer));
+        answer.steer(engine.submit(inbound.get(), answer));
     }
 
     private void refuse(HttpAnswer answer, RefusalReason reason) {
@@ -101,7 +101,7 @@
         answer.refused(Refusal.notRun(reason, 0));
     }
 
-    private Optional<Inbound> inbound(StreamingHttpRequest request, byte[] body) {
+    private Optional<InboundRequest> inbound(StreamingHttpRequest request, byte[] body) {
         String target = request.requestTarget();
         int end = target.indexOf('/', 1);
         if (!target.startsWith("/") || end <= 1) {
@@ -111,7 +111,7 @@
         Message.Content content =
                 new Message.Content(request.method().name(), target.substring(end), fields(request), body);
         String key = header(request, HeaderNames.IDEMPOTENCY_KEY).orElse("");
-        return Optional.of(new Inbound(service, content, key, ttl(request)));
+        return Optional.of(new InboundRequest(service, content, key, ttl(request)));
     }
 
     private List<HeaderField> fields(StreamingHttpRequest request) {
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpExchange.java
@@ -51,7 +51,7 @@
      *
      * @param task runs at most once
      */
-    void onGone(Runnable task);
+    void onCallerDisconnected(Runnable task);
 
     /**
      * Subscribes to the parts of the body that went out.
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpPool.java
@@ -8,7 +8,7 @@
 
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.kernel.time.TimerService;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.transport.EventLoops;
 import org.verbenadyke.node.transport.ServerPresence;
 
 import io.netty.bootstrap.Bootstrap;
@@ -26,7 +26,7 @@
     private static final int HEADER_BYTES = 32 * 1024;
 
     private final Endpoint server;
-    private final Loops loops;
+    private final EventLoops loops;
     private final TimerService timers;
     private final PoolSettings settings;
     private final Deque<ClientConnection> idle = new ConcurrentLinkedDeque<>();
@@ -35,7 +35,7 @@
     private volatile Runnable absent = () -> {};
     private volatile boolean closed;
 
-    private HttpPool(Endpoint server, Loops loops, TimerService timers, PoolSettings settings) {
+    private HttpPool(Endpoint server, EventLoops loops, TimerService timers, PoolSettings settings) {
         this.server = server;
         this.loops = loops;
         this.timers = timers;
@@ -52,7 +52,7 @@
      * @param settings how connections are kept
      * @return the pool
      */
-    public static HttpPool to(Endpoint server, Loops loops, TimerService timers, PoolSettings settings) {
+    public static HttpPool to(Endpoint server, EventLoops loops, TimerService timers, PoolSettings settings) {
         return new HttpPool(server, loops, timers, settings);
     }
 
@@ -121,7 +121,7 @@
      *
      * @param listener is told each time that a connection is refused
      */
-    public void onAbsent(Runnable listener) {
+    public void onConnectionRefused(Runnable listener) {
         absent = listener;
     }
 
@@ -164,7 +164,7 @@
         ClientConnection connection = new ClientConnection(this, call);
         new Bootstrap()
                 .group(loops.group())
-                .channel(loops.socket())
+                .channel(loops.socketChannelType())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, settings.connectMillis())
                 .handler(new ChannelInitializer<Channel>() {
--- a/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/HttpServer.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.time.Subscription;
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.node.transport.Binding;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.transport.EventLoops;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -60,11 +60,15 @@
      * @throws VerbenadykeException with {@link ErrorCode#PORT_IN_USE}
      */
     public static HttpServer listen(
-            Endpoint endpoint, Loops loops, TimerService timers, Supplier<ServerLimits> limits, HttpHandler handler) {
+            Endpoint endpoint,
+            EventLoops loops,
+            TimerService timers,
+            Supplier<ServerLimits> limits,
+            HttpHandler handler) {
         HttpServer server = new HttpServer(limits, handler, timers);
         ChannelFuture bound = new ServerBootstrap()
                 .group(loops.group())
-                .channel(loops.server())
+                .channel(loops.serverChannelType())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -76,7 +80,7 @@
     }
 
     /** Takes no more connections, closes the idle ones, and lets each other end after its current request. */
-    public void retire() {
+    public void shutdownGracefully() {
         closing = true;
         listener.close();
         sweep();
--- a/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
@@ -37,7 +37,7 @@
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
         Running running = new Running(handOver, listener);
-        running.call = pool.send(dialect.request(handOver), dialect.name(handOver), running);
+        running.call = pool.send(dialect.request(handOver), dialect.correlationId(handOver), running);
         return running;
     }
 
@@ -53,7 +53,7 @@
         private final HandOver handOver;
         private final Listener listener;
         private HttpCall call;
-        private UpstreamDialect.Verdict verdict;
+        private UpstreamDialect.AnswerKind verdict;
         private int status;
         private List<HeaderField> fields;
         private ByteArrayOutputStream whole = new ByteArrayOutputStream();
@@ -93,12 +93,12 @@
         public void head(int newStatus, List<HeaderField> newFields) {
             status = newStatus;
             fields = HttpFields.endToEnd(newFields);
-            verdict = dialect.verdict(newStatus, newFields);
+            verdict = dialect.classify(newStatus, newFields);
         }
 
         @Override
         public void data(byte[] bytes) {
-            if (verdict != UpstreamDialect.Verdict.ANSWER) {
+            if (verdict != UpstreamDialect.AnswerKind.ANSWER) {
                 return;
             }
             if (whole == null) {
@@ -118,9 +118,9 @@
         @Override
         public void end() {
             dialect.ended(handOver);
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (verdict == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
-            } else if (verdict == UpstreamDialect.Verdict.UNUSABLE) {
+            } else if (verdict == UpstreamDialect.AnswerKind.UNUSABLE) {
                 listener.broken();
             } else {
                 ended();
@@ -130,7 +130,7 @@
         @Override
         public void broken() {
             dialect.ended(handOver);
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (verdict == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
                 return;
             }
@@ -139,7 +139,7 @@
 
         @Override
         public void closed() {
-            if (verdict == UpstreamDialect.Verdict.NOT_RUN) {
+            if (verdict == UpstreamDialect.AnswerKind.NOT_RUN) {
                 broken();
                 return;
             }
--- a/node/src/main/java/org/verbenadyke/node/http1/ServerExchange.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/ServerExchange.java
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void onGone(Runnable task) {
+    public void onCallerDisconnected(Runnable task) {
         gone = task;
     }
 
--- a/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
@@ -23,7 +23,7 @@
      * @param handOver the call
      * @return the name, empty if it has none
      */
-    String name(UpstreamPort.HandOver handOver);
+    String correlationId(UpstreamPort.HandOver handOver);
 
     /**
      * Tells whether an answer belongs to a call.
@@ -41,7 +41,7 @@
      * @param fields the header fields
      * @return what it says
      */
-    Verdict verdict(int status, List<HeaderField> fields);
+    AnswerKind classify(int status, List<HeaderField> fields);
 
     /**
      * Takes notice that a call has ended, however.
@@ -53,7 +53,7 @@
     /**
      * What an answer says of its call.
      */
-    enum Verdict {
+    enum AnswerKind {
         /** It is the upstream's answer. */
         ANSWER,
         /** The upstream did not run the call and never will. */
--- a/node/src/main/java/org/verbenadyke/node/log/AbsentLog.java
+++ b/node/src/main/java/org/verbenadyke/node/log/AbsentLog.java
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
-        taker.accept(new Appended.Failed(WHY));
+    public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
+        taker.accept(new AppendResult.Failed(WHY));
     }
 
     @Override
-    public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
-        taker.accept(new Read.Failed(WHY));
+    public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
+        taker.accept(new ReadResult.Failed(WHY));
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
+++ b/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void append(String stream, String key, byte[] record, Consumer<Appended> taker) {
+    public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
         Single<HttpResponse> answer = client.request(client.post("/streams/" + stream)
                 .payloadBody(client.executionContext().bufferAllocator().wrap(record)));
         answer.timeout(APPEND_TIMEOUT)
@@ -67,12 +67,12 @@
     }
 
     @Override
-    public void read(String stream, long fromOffset, long waitMillis, Consumer<Read> taker) {
+    public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
         String target = "/streams/" + stream + "?from=" + fromOffset + "&wait=" + waitMillis;
         client.request(client.get(target))
                 .timeout(READ_SLACK.plusMillis(waitMillis))
                 .map(HttpLog::records)
-                .onErrorReturn(e -> new Read.Failed(String.valueOf(e.getMessage())))
+                .onErrorReturn(e -> new ReadResult.Failed(String.valueOf(e.getMessage())))
                 .subscribe(taker::accept);
     }
 
@@ -81,23 +81,23 @@
         client.closeAsync().subscribe();
     }
 
-    private static Appended appended(HttpResponse response) {
+    private static AppendResult appended(HttpResponse response) {
         if (response.status().code() != OK) {
-            return new Appended.Failed("status " + response.status().code());
+            return new AppendResult.Failed("status " + response.status().code());
         }
-        return new Appended.At(json(response).path("offset").asLong());
+        return new AppendResult.At(json(response).path("offset").asLong());
     }
 
-    private static Appended appendFailure(Throwable failure) {
+    private static AppendResult appendFailure(Throwable failure) {
         if (failure instanceof ConnectException || failure instanceof NoAvailableHostException) {
-            return new Appended.Failed(String.valueOf(failure.getMessage()));
+            return new AppendResult.Failed(String.valueOf(failure.getMessage()));
         }
-        return new Appended.Unknown(String.valueOf(failure.getMessage()));
+        return new AppendResult.Unknown(String.valueOf(failure.getMessage()));
     }
 
-    private static Read records(HttpResponse response) {
+    private static ReadResult records(HttpResponse response) {
         if (response.status().code() != OK) {
-            return new Read.Failed("status " + response.status().code());
+            return new ReadResult.Failed("status " + response.status().code());
         }
         JsonNode node = json(response);
         List<LogRecord> records = new ArrayList<>();
@@ -107,7 +107,8 @@
                     Optional.empty(),
                     Base64.getDecoder().decode(r.path("data").asText())));
         }
-        return new Read.Records(node.path("first").asLong(), node.path("next").asLong(), records);
+        return new ReadResult.Records(
+                node.path("first").asLong(), node.path("next").asLong(), records);
     }
 
     private static JsonNode json(HttpResponse response) {
--- a/node/src/main/java/org/verbenadyke/node/metrics/Latencies.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/LatencyHistogram.java
@@ -8,7 +8,7 @@
 /**
  * How long requests took, from when they were read to when their answer was complete. Safe for many threads.
  */
-public final class Latencies {
+public final class LatencyHistogram {
     /** The longest latency told apart, in microseconds: no request is kept longer than a minute. */
     private static final long MOST_MICROS = 60_000_000L;
 
@@ -17,15 +17,15 @@
 
     private final Histogram histogram = new ConcurrentHistogram(MOST_MICROS, DIGITS);
 
-    private Latencies() {}
+    private LatencyHistogram() {}
 
     /**
      * Creates a histogram without values.
      *
      * @return the histogram
      */
-    public static Latencies create() {
-        return new Latencies();
+    public static LatencyHistogram create() {
+        return new LatencyHistogram();
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param percent which, from 0 to 100
      * @return microseconds
      */
-    public long micros(double percent) {
+    public long percentileMicros(double percent) {
         return histogram.getValueAtPercentile(percent);
     }
 }
--- a/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
@@ -65,10 +65,10 @@
      * @param latencies the latencies
      * @return these metrics
      */
-    public MetricsText with(Latencies latencies) {
+    public MetricsText with(LatencyHistogram latencies) {
         gauge("request_latency_count", latencies::count);
         for (double percent : PERCENTILES) {
-            gauge("request_latency_micros{percentile=\"" + percent + "\"}", () -> latencies.micros(percent));
+            gauge("request_latency_micros{percentile=\"" + percent + "\"}", () -> latencies.percentileMicros(percent));
         }
         return this;
     }
--- a/node/src/main/java/org/verbenadyke/node/settings/IniReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/IniReader.java
@@ -68,12 +68,12 @@
     public void checkSections(Set<String> required, Set<String> known) {
         for (String section : required) {
             if (!ini.getSections().contains(section)) {
-                problem(ErrorCode.SETTINGS_MISSING_SECTION, section);
+                addProblem(ErrorCode.SETTINGS_MISSING_SECTION, section);
             }
         }
         for (String section : ini.getSections()) {
             if (!known.contains(String.valueOf(section))) {
-                problem(ErrorCode.SETTINGS_UNKNOWN_SECTION, String.valueOf(section));
+                addProblem(ErrorCode.SETTINGS_UNKNOWN_SECTION, String.valueOf(section));
             }
         }
     }
@@ -91,7 +91,7 @@
         ini.getSection(section).getKeys().forEachRemaining(raw -> {
             String key = raw.replace("..", ".");
             if (!known.contains(key)) {
-                problem(ErrorCode.SETTINGS_UNKNOWN_KEY, section, key);
+                addProblem(ErrorCode.SETTINGS_UNKNOWN_KEY, section, key);
             }
         });
     }
@@ -115,10 +115,10 @@
      * @param key the key
      * @return the value; empty after a problem was noted
      */
-    public String needed(String section, String key) {
+    public String requiredText(String section, String key) {
         Optional<String> value = text(section, key);
         if (value.isEmpty() && ini.getSections().contains(section)) {
-            problem(ErrorCode.SETTINGS_MISSING_KEY, section, key);
+            addProblem(ErrorCode.SETTINGS_MISSING_KEY, section, key);
         }
         return value.orElse("");
     }
@@ -138,7 +138,7 @@
         try {
             return text.map(convert);
         } catch (IllegalArgumentException e) {
-            problem(ErrorCode.SETTINGS_BAD_VALUE, section, key, text.orElse(""), "must be " + what);
+            addProblem(ErrorCode.SETTINGS_BAD_VALUE, section, key, text.orElse(""), "must be " + what);
             return Optional.empty();
         }
     }
@@ -217,7 +217,7 @@
      * @param code the kind
      * @param details section, key and what else the message names
      */
-    public void problem(ErrorCode code, String... details) {
+    public void addProblem(ErrorCode code, String... details) {
         Object[] arguments = new Object[details.length + 1];
         arguments[0] = file;
         System.arraycopy(details, 0, arguments, 1, details.length);
--- a/node/src/main/java/org/verbenadyke/node/settings/SettingsProblems.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/InvalidSettingsException.java
@@ -5,12 +5,12 @@
 /**
  * Thrown when a settings file can't be used; carries every problem found in it.
  */
-public final class SettingsProblems extends RuntimeException {
+public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final List<String> problems;
 
-    private SettingsProblems(List<String> problems) {
+    private InvalidSettingsException(List<String> problems) {
         super(String.join(System.lineSeparator(), problems));
         this.problems = List.copyOf(problems);
     }
@@ -21,8 +21,8 @@
      * @param problems each with its code, file, section, key and remedy
      * @return the exception, to be thrown
      */
-    public static SettingsProblems of(List<String> problems) {
-        return new SettingsProblems(problems);
+    public static InvalidSettingsException of(List<String> problems) {
+        return new InvalidSettingsException(problems);
     }
 
     /**
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
@@ -5,7 +5,7 @@
 
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * The settings of one node, checked.
@@ -25,7 +25,7 @@
  */
 public record NodeSettings(
         String id,
-        Place place,
+        Location place,
         Endpoint peers,
         Endpoint entry,
         Endpoint local,
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettingsReader.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.engine.Policy;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Reads the settings of a node. Every key is described in docs/SETTINGS.md.
@@ -61,15 +61,15 @@
      *
      * @param path the file
      * @return the settings
-     * @throws SettingsProblems with everything that is wrong
+     * @throws InvalidSettingsException with everything that is wrong
      */
     public static NodeSettings read(Path path) {
         IniReader ini = IniReader.open(path);
         ini.checkSections(REQUIRED, KEYS.keySet());
         KEYS.forEach(ini::checkKeys);
         NodeSettings settings = new NodeSettings(
-                ini.needed("node", "id"),
-                new Place(ini.needed("node", "region"), ini.needed("node", "data-centre")),
+                ini.requiredText("node", "id"),
+                new Location(ini.requiredText("node", "region"), ini.requiredText("node", "data-centre")),
                 listen(ini, "peers"),
                 listen(ini, "entry"),
                 listen(ini, "local"),
@@ -81,13 +81,13 @@
                 ini.flag("node", "ledger", true),
                 (int) ini.number("node", "io-threads", 1, THREADS_MOST, DEFAULT_THREADS));
         if (!ini.problems().isEmpty()) {
-            throw SettingsProblems.of(ini.problems());
+            throw InvalidSettingsException.of(ini.problems());
         }
         return settings;
     }
 
     private static Endpoint listen(IniReader ini, String key) {
-        ini.needed("listen", key);
+        ini.requiredText("listen", key);
         return ini.endpoint("listen", key).orElse(UNSET);
     }
 
@@ -105,7 +105,7 @@
     private static boolean format(IniReader ini) {
         String format = ini.text("logging", "format").orElse("text");
         if (!format.equals("text") && !format.equals("json")) {
-            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "logging", "format", format, "must be text or json");
+            ini.addProblem(ErrorCode.SETTINGS_BAD_VALUE, "logging", "format", format, "must be text or json");
         }
         return format.equals("json");
     }
@@ -118,7 +118,8 @@
                 (int) ini.number("policy", "limit-least", 1, LIMIT_MOST, l.minimum()),
                 (int) ini.number("policy", "limit-most", 1, LIMIT_MOST, l.maximum()));
         DispatchSettings d = base.dispatch();
-        long percent = ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.ratio() * PERCENT));
+        long percent =
+                ini.number("policy", "retry-ratio-percent", 0, (long) PERCENT, Math.round(d.retryRatio() * PERCENT));
         long after = ini.number("policy", "retry-after-ms", 0, RETRY_AFTER_MOST_MILLIS, d.retryAfterMillis());
         GateSettings gate = base.gate();
         return new Policy(
@@ -133,11 +134,11 @@
                 limits,
                 new DispatchSettings(
                         percent / PERCENT,
-                        d.burst(),
-                        d.perHop(),
-                        d.tryNanos(),
-                        d.everyRetryCounts(),
-                        d.callsExempt(),
+                        d.maxSavedRetries(),
+                        d.retryPerHop(),
+                        d.attemptTimeoutNanos(),
+                        d.ratioCoversLostConnections(),
+                        d.nestedCallsExempt(),
                         after),
                 base.serve(),
                 base.link());
@@ -154,7 +155,7 @@
         Optional<String> value = ini.text("policy", key);
         if (value.isPresent() && !known.contains(value.get())) {
             String what = "must be one of " + known.stream().sorted().toList();
-            ini.problem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), what);
+            ini.addProblem(ErrorCode.SETTINGS_BAD_VALUE, "policy", key, value.get(), what);
             return otherwise;
         }
         return value.orElse(otherwise);
--- a/node/src/main/java/org/verbenadyke/node/time/LoopTimerService.java
+++ b/node/src/main/java/org/verbenadyke/node/time/EventLoopTimerService.java
@@ -16,7 +16,7 @@
  * each wake-up is paid for. On that thread the clock is read once a turn of the loop: a request looks at it some tens
  * of times, and a turn is short against every time that is measured by it.
  */
-public final class LoopTimerService implements TimerService {
+public final class EventLoopTimerService implements TimerService {
     private static final Logger LOG = LogManager.getLogger("timer");
 
     private final EventExecutor loop;
@@ -25,7 +25,7 @@
     private boolean read;
     private long now;
 
-    private LoopTimerService(EventExecutor loop) {
+    private EventLoopTimerService(EventExecutor loop) {
         this.loop = loop;
     }
 
@@ -35,8 +35,8 @@
      * @param loop the loop
      * @return the timers
      */
-    public static LoopTimerService on(EventExecutor loop) {
-        return new LoopTimerService(loop);
+    public static EventLoopTimerService on(EventExecutor loop) {
+        return new EventLoopTimerService(loop);
     }
 
     @Override
--- a/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
+++ b/node/src/main/java/org/verbenadyke/node/trace/DecisionLogger.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.time.TimerService;
 import org.verbenadyke.kernel.trace.Decision;
 import org.verbenadyke.kernel.trace.DecisionLog;
-import org.verbenadyke.kernel.trace.LineBudget;
+import org.verbenadyke.kernel.trace.LineRateLimiter;
 
 /**
  * Writes decisions as structured log lines, a bounded number of each kind a second.
@@ -43,10 +43,10 @@
 
     private static final int FIELDS = 10;
 
-    private final LineBudget budget;
-    private final LineBudget endedBudget;
+    private final LineRateLimiter budget;
+    private final LineRateLimiter endedBudget;
 
-    private DecisionLogger(LineBudget budget, LineBudget endedBudget) {
+    private DecisionLogger(LineRateLimiter budget, LineRateLimiter endedBudget) {
         this.budget = budget;
         this.endedBudget = endedBudget;
     }
@@ -58,13 +58,13 @@
      * @return the logger
      */
     public static DecisionLogger on(TimerService timers) {
-        return new DecisionLogger(LineBudget.of(timers, LINES_MOST), LineBudget.of(timers, ENDED_LINES_MOST));
+        return new DecisionLogger(LineRateLimiter.of(timers, LINES_MOST), LineRateLimiter.of(timers, ENDED_LINES_MOST));
     }
 
     @Override
     public void note(Decision decision) {
         String kind = kind(decision);
-        int leftOut = (decision instanceof Decision.EndedUnder ? endedBudget : budget).take(kind);
+        int leftOut = (decision instanceof Decision.UpstreamCrashed ? endedBudget : budget).take(kind);
         if (leftOut < 0) {
             return;
         }
@@ -79,16 +79,16 @@
     private static String kind(Decision decision) {
         return switch (decision) {
             case Decision.Refused d -> "refused-" + d.reason().label();
-            case Decision.Unidentified d -> "caller-unidentified";
+            case Decision.CallerUnidentified d -> "caller-unidentified";
             case Decision.Failed d -> "answered-failed";
-            case Decision.TurnedAway d -> "turned-away-" + d.reason().label();
+            case Decision.CallRefused d -> "turned-away-" + d.reason().label();
             case Decision.Retried d -> "retried-" + d.reason().label();
             case Decision.Rerouted d -> "rerouted-" + d.reason().label();
-            case Decision.FateAsked d -> "fate-asked";
-            case Decision.FateTold d -> "fate-told";
-            case Decision.EndedUnder d -> "upstream-ended-under";
+            case Decision.StatusInquired d -> "fate-asked";
+            case Decision.StatusReported d -> "fate-told";
+            case Decision.UpstreamCrashed d -> "upstream-ended-under";
             case Decision.Quarantined d -> "request-quarantined";
-            case Decision.HeldBack d -> "request-held-back";
+            case Decision.QuarantineRefused d -> "request-held-back";
             case Decision.Ejected d -> "upstream-ejected";
             case Decision.Member d -> "member";
             case Decision.RecordSkipped d -> "record-skipped";
@@ -98,9 +98,9 @@
     private static void fill(StringMapMessage line, Decision decision) {
         switch (decision) {
             case Decision.Refused d -> fill(line, d);
-            case Decision.Unidentified d -> fill(line, d);
+            case Decision.CallerUnidentified d -> fill(line, d);
             case Decision.Failed d -> fill(line, d);
-            case Decision.TurnedAway d ->
+            case Decision.CallRefused d ->
                 line.with(CHAIN, d.chain())
                         .with("upstream", d.upstream())
                         .with("runState", d.state().label())
@@ -114,21 +114,21 @@
                         .with("granted", d.granted());
             case Decision.Rerouted d ->
                 line.with(CHAIN, d.chain()).with("service", d.service()).with("upstream", d.upstream());
-            case Decision.FateAsked d ->
+            case Decision.StatusInquired d ->
                 line.with(CHAIN, d.chain())
                         .with(ATTEMPT, d.attempt())
                         .with("upstream", d.upstream())
-                        .with("sentTo", d.sentTo())
-                        .with("asked", d.asked());
-            case Decision.FateTold d ->
+                        .with("sentTo", d.targetIncarnation())
+                        .with("asked", d.queriedIncarnation());
+            case Decision.StatusReported d ->
                 line.with(ATTEMPT, d.attempt())
                         .with("runState", d.state().label())
                         .with("reason", d.reason().label())
                         .with("incarnation", d.incarnation());
-            case Decision.EndedUnder d ->
+            case Decision.UpstreamCrashed d ->
                 line.with(CHAIN, d.chain()).with("upstream", d.upstream()).with(DIGEST, d.digest());
             case Decision.Quarantined d -> line.with(DIGEST, d.digest()).with(EVIDENCE, d.evidence());
-            case Decision.HeldBack d -> fill(line, d);
+            case Decision.QuarantineRefused d -> fill(line, d);
             case Decision.Ejected d -> line.with(CHAIN, d.chain()).with("upstream", d.upstream());
             case Decision.Member d ->
                 line.with("node", d.node())
@@ -137,7 +137,7 @@
                         .with("version", d.version())
                         .with("service", d.service());
             case Decision.RecordSkipped d ->
-                line.with("source", d.source()).with("key", d.key()).with("why", d.why());
+                line.with("source", d.source()).with("key", d.key()).with("why", d.reason());
         }
     }
 
@@ -145,29 +145,29 @@
         line.with(REQUEST, d.request())
                 .with(CHAIN, d.chain())
                 .with(ROUTE, d.route())
-                .with(PLAN, d.plan())
+                .with(PLAN, d.planVersion())
                 .with("runState", d.state().label())
                 .with("retryAfterMs", d.retryAfterMillis())
-                .with("heldMs", d.heldMillis());
+                .with("heldMs", d.elapsedMillis());
     }
 
-    private static void fill(StringMapMessage line, Decision.Unidentified d) {
+    private static void fill(StringMapMessage line, Decision.CallerUnidentified d) {
         line.with(REQUEST, d.request())
-                .with(PLAN, d.plan())
+                .with(PLAN, d.planVersion())
                 .with("fault", d.fault())
-                .with("signAgeMs", d.signAgeMillis());
+                .with("signAgeMs", d.heartbeatAgeMillis());
     }
 
     private static void fill(StringMapMessage line, Decision.Failed d) {
         line.with(REQUEST, d.request())
                 .with(CHAIN, d.chain())
                 .with(ROUTE, d.route())
-                .with(PLAN, d.plan())
+                .with(PLAN, d.planVersion())
                 .with("status", d.status())
-                .with("heldMs", d.heldMillis());
+                .with("heldMs", d.elapsedMillis());
     }
 
-    private static void fill(StringMapMessage line, Decision.HeldBack d) {
+    private static void fill(StringMapMessage line, Decision.QuarantineRefused d) {
         line.with(CHAIN, d.chain())
                 .with(DIGEST, d.digest())
                 .with("retryAfterMs", d.retryAfterMillis())
--- a/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
@@ -25,10 +25,10 @@
     /** How many messages may go out in one write; the parts of an answer are sent together. */
     private static final int FLUSHES_MOST = 64;
 
-    private final Loops loops;
+    private final EventLoops loops;
     private final Counters counters;
 
-    private NettyTransport(Loops loops, Counters counters) {
+    private NettyTransport(EventLoops loops, Counters counters) {
         this.loops = loops;
         this.counters = counters;
     }
@@ -40,7 +40,7 @@
      * @param counters where rejected frames are counted
      * @return the transport
      */
-    public static NettyTransport on(Loops loops, Counters counters) {
+    public static NettyTransport on(EventLoops loops, Counters counters) {
         return new NettyTransport(loops, counters);
     }
 
@@ -55,7 +55,7 @@
         InetSocketAddress address = new InetSocketAddress(endpoint.host(), endpoint.port());
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loops.group())
-                .channel(loops.server())
+                .channel(loops.serverChannelType())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(initializer(handlers));
@@ -67,7 +67,7 @@
     public void connect(Endpoint endpoint, Handler handler) {
         new Bootstrap()
                 .group(loops.group())
-                .channel(loops.socket())
+                .channel(loops.socketChannelType())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
                 .handler(initializer(() -> handler))
@@ -86,7 +86,7 @@
                 channel.pipeline()
                         .addLast(new FlushConsolidationHandler(FLUSHES_MOST, true))
                         .addLast(new LengthFieldBasedFrameDecoder(
-                                FrameCodec.FRAME_MOST, 0, FrameCodec.LENGTH_BYTES, 0, FrameCodec.LENGTH_BYTES))
+                                FrameCodec.MAX_FRAME_BYTES, 0, FrameCodec.LENGTH_BYTES, 0, FrameCodec.LENGTH_BYTES))
                         .addLast(new FrameDecoder())
                         .addLast(new FrameEncoder())
                         .addLast(new PeerHandler(handlers.get(), counters));
--- a/node/src/main/java/org/verbenadyke/node/transport/PacedSelect.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/PacedSelect.java
@@ -2,18 +2,18 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-import org.verbenadyke.kernel.time.TurnPacing;
+import org.verbenadyke.kernel.time.EventLoopPacing;
 
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
 
 /**
- * Lets an event loop rest between two turns as {@link TurnPacing} says. A loop with tasks at hand runs them first.
+ * Lets an event loop rest between two turns as {@link EventLoopPacing} says. A loop with tasks at hand runs them first.
  */
 final class PacedSelect implements SelectStrategy {
     private final SelectStrategy select = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
-    private final TurnPacing pacing = TurnPacing.quiet();
+    private final EventLoopPacing pacing = EventLoopPacing.quiet();
 
     private PacedSelect() {}
 
@@ -23,7 +23,7 @@
 
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        long rest = pacing.turnEnded(System.nanoTime());
+        long rest = pacing.iterationEnded(System.nanoTime());
         if (rest > 0 && !hasTasks) {
             LockSupport.parkNanos(rest);
         }
--- a/node/src/main/java/org/verbenadyke/node/transport/ServerPresence.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/ServerPresence.java
@@ -24,11 +24,11 @@
     private static final int CONNECT_MILLIS = 200;
 
     private final Endpoint server;
-    private final Loops loops;
+    private final EventLoops loops;
     private final Runnable absent;
     private final List<UpstreamPort.Listener> waiting = new ArrayList<>();
 
-    private ServerPresence(Endpoint server, Loops loops, Runnable absent) {
+    private ServerPresence(Endpoint server, EventLoops loops, Runnable absent) {
         this.server = server;
         this.loops = loops;
         this.absent = absent;
@@ -42,7 +42,7 @@
      * @param absent is told each time that a connection is refused
      * @return the way to ask
      */
-    public static ServerPresence of(Endpoint server, Loops loops, Runnable absent) {
+    public static ServerPresence of(Endpoint server, EventLoops loops, Runnable absent) {
         return new ServerPresence(server, loops, absent);
     }
 
@@ -62,7 +62,7 @@
         }
         new Bootstrap()
                 .group(loops.group())
-                .channel(loops.socket())
+                .channel(loops.socketChannelType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(new InetSocketAddress(server.host(), server.port()))
@@ -82,7 +82,7 @@
             told = List.copyOf(waiting);
             waiting.clear();
         }
-        told.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamEnded);
+        told.forEach(listens ? UpstreamPort.Listener::broken : UpstreamPort.Listener::upstreamCrashed);
     }
 
     /**
--- a/node/src/main/java/org/verbenadyke/node/transport/SharedLoops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/SharedLoops.java
@@ -8,7 +8,7 @@
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutors;
 
 /**
- * Takes the threads that ServiceTalk serves HTTP on. Apart from {@link Loops}, so that a node without ServiceTalk needs
+ * Takes the threads that ServiceTalk serves HTTP on. Apart from {@link EventLoops}, so that a node without ServiceTalk needs
  * none of its libraries.
  */
 public final class SharedLoops {
@@ -20,10 +20,10 @@
      * @param executor the executor
      * @return its threads
      */
-    public static Loops of(IoExecutor executor) {
+    public static EventLoops of(IoExecutor executor) {
         EventLoopGroup group = EventLoopAwareNettyIoExecutors.toEventLoopAwareNettyIoExecutor(executor)
                 .eventLoopGroup();
-        return new Loops(
+        return new EventLoops(
                 group,
                 BuilderUtils.serverChannel(group, InetSocketAddress.class),
                 BuilderUtils.socketChannel(group, InetSocketAddress.class),
--- a/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/UdpPort.java
@@ -47,13 +47,13 @@
      */
     public static UdpPort listen(
             Endpoint endpoint,
-            Loops loops,
+            EventLoops loops,
             Counters counters,
             DecisionLog decisions,
             BiConsumer<Endpoint, GossipMessage> taker) {
         ChannelFuture bound = new Bootstrap()
                 .group(loops.group())
-                .channel(loops.datagram())
+                .channel(loops.datagramChannelType())
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(DATAGRAM_MOST))
                 .handler(new Receiver(counters, decisions, taker))
                 .bind(new InetSocketAddress(endpoint.host(), endpoint.port()));
--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
@@ -25,8 +25,8 @@
 import org.verbenadyke.node.http1.PoolSettings;
 import org.verbenadyke.node.http1.PooledUpstream;
 import org.verbenadyke.node.http1.UpstreamDialect;
-import org.verbenadyke.node.time.LoopTimerService;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.time.EventLoopTimerService;
+import org.verbenadyke.node.transport.EventLoops;
 import org.verbenadyke.node.transport.SharedLoops;
 
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutor;
@@ -39,13 +39,13 @@
     private static final int PATIENCE_MILLIS = 20_000;
 
     private final EventLoopAwareNettyIoExecutor io = NettyIoExecutors.createIoExecutor(1, "io");
-    private final Loops loops = SharedLoops.of(io);
+    private final EventLoops loops = SharedLoops.of(io);
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private final ServerSocket server = listen();
     private final HttpPool pool = HttpPool.to(
             new Endpoint("127.0.0.1", server.getLocalPort()),
             loops,
-            LoopTimerService.on(loops.group().next()),
+            EventLoopTimerService.on(loops.group().next()),
             PoolSettings.standard());
     private final PooledUpstream pooled = PooledUpstream.over(pool, new Plain());
     private final HttpUpstream simple = HttpUpstream.to(new Endpoint("127.0.0.1", server.getLocalPort()), io);
@@ -86,7 +86,7 @@
 
     @Test
     void tellsThatNothingListensWhenAConnectionIsRefused() throws Exception {
-        pool.onAbsent(() -> told.add("absent"));
+        pool.onConnectionRefused(() -> told.add("absent"));
         server.close();
         send(pooled);
         assertEquals("absent", next());
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void upstreamEnded() {
+        public void upstreamCrashed() {
             told.add("ended");
         }
     }
@@ -175,7 +175,7 @@
         }
 
         @Override
-        public String name(UpstreamPort.HandOver handOver) {
+        public String correlationId(UpstreamPort.HandOver handOver) {
             return "";
         }
 
@@ -185,8 +185,8 @@
         }
 
         @Override
-        public Verdict verdict(int status, List<HeaderField> fields) {
-            return Verdict.ANSWER;
+        public AnswerKind classify(int status, List<HeaderField> fields) {
+            return AnswerKind.ANSWER;
         }
 
         @Override
--- a/node/src/test/java/org/verbenadyke/node/http/HttpUpstreamTest.java
+++ b/node/src/test/java/org/verbenadyke/node/http/HttpUpstreamTest.java
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void upstreamEnded() {
+        public void upstreamCrashed() {
             // What the server sees is looked at.
         }
     }
--- a/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
+++ b/node/src/test/java/org/verbenadyke/node/settings/NodeSettingsReaderTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void namesEverythingThatIsWrongAtOnce() {
-        SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("""
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> read("""
                         [node]
                         id = a
                         data-center = d
@@ -68,7 +68,7 @@
 
     @Test
     void namesAMissingSection() {
-        SettingsProblems e = assertThrows(SettingsProblems.class, () -> read("[node]\nid = a\n"));
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> read("[node]\nid = a\n"));
         requires(e.problems(), ErrorCode.SETTINGS_MISSING_SECTION, "[listen]");
     }
 
--- a/node/src/test/java/org/verbenadyke/node/transport/TakenPortTest.java
+++ b/node/src/test/java/org/verbenadyke/node/transport/TakenPortTest.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 import org.verbenadyke.node.http1.HttpServer;
 import org.verbenadyke.node.http1.ServerLimits;
-import org.verbenadyke.node.time.LoopTimerService;
+import org.verbenadyke.node.time.EventLoopTimerService;
 
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -28,7 +28,7 @@
     private static final int TRIES = 200;
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private final Loops loops = Loops.nio(1);
+    private final EventLoops loops = EventLoops.nio(1);
 
     @AfterEach
     void stop() {
@@ -37,7 +37,7 @@
 
     @Test
     void noHttpServerListensThere() throws IOException {
-        LoopTimerService timers = LoopTimerService.on(loops.group().next());
+        EventLoopTimerService timers = EventLoopTimerService.on(loops.group().next());
         ServerLimits limits = new ServerLimits(8_192, 8_192, 1_000_000_000L);
         try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
             Endpoint at = new Endpoint("127.0.0.1", taken.getLocalPort());
--- a/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
@@ -10,8 +10,8 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.node.http1.HttpPool;
 import org.verbenadyke.node.http1.PoolSettings;
-import org.verbenadyke.node.time.LoopTimerService;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.time.EventLoopTimerService;
+import org.verbenadyke.node.transport.EventLoops;
 
 /**
  * Starts a node against the stand-ins, sends it some requests and stops it. The build runs the node's own command line
@@ -37,8 +37,8 @@
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host");
-        Loops loops = Loops.nio(1);
-        LoopTimerService timers = LoopTimerService.on(loops.group().next());
+        EventLoops loops = EventLoops.nio(1);
+        EventLoopTimerService timers = EventLoopTimerService.on(loops.group().next());
         NodePorts ports = NodePorts.free();
         Endpoint storeAt = NodePorts.freeEndpoint();
         Endpoint serverAt = NodePorts.freeEndpoint();
--- a/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.node.http1.HttpRequestMessage;
 import org.verbenadyke.node.http1.HttpServer;
 import org.verbenadyke.node.http1.ServerLimits;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.transport.EventLoops;
 
 /**
  * A stand-in of one of the platform's servers. It signs its answers, counts how often each request ran, and misbehaves
@@ -71,7 +71,7 @@
      * @param timers the time
      * @return the server
      */
-    public static ServerStandIn listen(String id, Endpoint endpoint, Loops loops, TimerService timers) {
+    public static ServerStandIn listen(String id, Endpoint endpoint, EventLoops loops, TimerService timers) {
         ServerStandIn standIn = new ServerStandIn(id, timers);
         standIn.server = HttpServer.listen(endpoint, loops, timers, () -> LIMITS, standIn::handle);
         return standIn;
--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
@@ -16,7 +16,7 @@
 import org.verbenadyke.node.http1.HttpExchange;
 import org.verbenadyke.node.http1.HttpServer;
 import org.verbenadyke.node.http1.ServerLimits;
-import org.verbenadyke.node.transport.Loops;
+import org.verbenadyke.node.transport.EventLoops;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -63,7 +63,7 @@
      * @param timers the time
      * @return the store
      */
-    public static StoreStandIn listen(Endpoint endpoint, Loops loops, TimerService timers) {
+    public static StoreStandIn listen(Endpoint endpoint, EventLoops loops, TimerService timers) {
         StoreStandIn store = new StoreStandIn(timers);
         store.server = HttpServer.listen(endpoint, loops, timers, () -> LIMITS, store::handle);
         return store;
@@ -145,7 +145,7 @@
         calls.incrementAndGet();
         switch (fault) {
             case REFUSES -> answer(exchange, UNAVAILABLE, NOTHING);
-            case SILENT -> exchange.onGone(() -> {});
+            case SILENT -> exchange.onCallerDisconnected(() -> {});
             case GARBLES -> exchange.answer(OK, List.of(), new byte[] {1, 2, 3});
             case LOSES_ANSWERS -> perform(exchange, false);
             case NONE -> perform(exchange, true);
--- a/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
@@ -10,7 +10,7 @@
 
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.node.settings.IniReader;
-import org.verbenadyke.node.settings.SettingsProblems;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 import org.verbenadyke.standins.upstream.Bodies;
 
 /**
@@ -41,7 +41,7 @@
      *
      * @param path the file
      * @return the workload
-     * @throws SettingsProblems with everything that is wrong
+     * @throws InvalidSettingsException with everything that is wrong
      */
     public static Workload read(Path path) {
         IniReader ini = IniReader.open(path);
@@ -55,17 +55,17 @@
             } else if (section.startsWith(REQUEST)) {
                 requests.add(request(ini, section));
             } else if (!section.equals("workload")) {
-                ini.problem(ErrorCode.SETTINGS_UNKNOWN_SECTION, section);
+                ini.addProblem(ErrorCode.SETTINGS_UNKNOWN_SECTION, section);
             }
         }
         Workload workload = new Workload(
-                ini.needed("workload", "name"),
-                ini.needed("workload", "region"),
-                Arrays.asList(ini.needed("workload", "data-centres").split("\\s+")),
+                ini.requiredText("workload", "name"),
+                ini.requiredText("workload", "region"),
+                Arrays.asList(ini.requiredText("workload", "data-centres").split("\\s+")),
                 services,
                 requests);
         if (!ini.problems().isEmpty()) {
-            throw SettingsProblems.of(ini.problems());
+            throw InvalidSettingsException.of(ini.problems());
         }
         return workload;
     }
@@ -105,8 +105,8 @@
     private static RequestKind request(IniReader ini, String section) {
         return new RequestKind(
                 section.substring(REQUEST.length()),
-                ini.needed(section, "method"),
-                ini.needed(section, "target"),
+                ini.requiredText(section, "method"),
+                ini.requiredText(section, "target"),
                 (int) ini.number(section, "share", 1, MOST, 1),
                 (int) ini.number(section, "size", 0, MOST, 0));
     }
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamSettings.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamSettings.java
@@ -10,7 +10,7 @@
 
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.node.settings.IniReader;
-import org.verbenadyke.node.settings.SettingsProblems;
+import org.verbenadyke.node.settings.InvalidSettingsException;
 
 /**
  * How a stand-in upstream behaves.
@@ -53,7 +53,7 @@
      *
      * @param path the file
      * @return the settings
-     * @throws SettingsProblems with everything that is wrong
+     * @throws InvalidSettingsException with everything that is wrong
      */
     public static UpstreamSettings read(Path path) {
         IniReader ini = IniReader.open(path);
@@ -65,7 +65,7 @@
             ini.text("calls", operation).ifPresent(v -> calls.put(operation, Arrays.asList(v.split("\\s+"))));
         }
         UpstreamSettings settings = new UpstreamSettings(
-                ini.needed(SECTION, "service"),
+                ini.requiredText(SECTION, "service"),
                 ini.endpoint(SECTION, "listen").orElse(new Endpoint("127.0.0.1", 1)),
                 ini.endpoint(SECTION, "node").orElse(new Endpoint("127.0.0.1", 1)),
                 ini.endpoint(SECTION, "effects"),
@@ -76,7 +76,7 @@
                 (int) ini.number(SECTION, "fail-percent", 0, PERCENT, 0),
                 calls);
         if (!ini.problems().isEmpty()) {
-            throw SettingsProblems.of(ini.problems());
+            throw InvalidSettingsException.of(ini.problems());
         }
         return settings;
     }
--- a/wire/src/main/java/org/verbenadyke/wire/ConfigCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/ConfigCodec.java
@@ -75,7 +75,7 @@
         packNames(p, c.leaving());
         p.packLong(s.offset()).packArrayHeader(s.decisions().size());
         for (ConfigState.Decision d : s.decisions()) {
-            p.packString(d.id()).packBoolean(d.won()).packLong(d.version());
+            p.packString(d.id()).packBoolean(d.tookEffect()).packLong(d.version());
             p.packString(d.author()).packLong(d.atMillis());
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/EndReports.java
+++ b/wire/src/main/java/org/verbenadyke/wire/EndReports.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
-import org.verbenadyke.kernel.quarantine.EndReport;
+import org.verbenadyke.kernel.quarantine.CrashReport;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 
 /**
@@ -20,9 +20,9 @@
 
     private EndReports() {}
 
-    static void pack(MessagePacker p, List<EndReport> reports) throws IOException {
+    static void pack(MessagePacker p, List<CrashReport> reports) throws IOException {
         p.packArrayHeader(reports.size());
-        for (EndReport r : reports) {
+        for (CrashReport r : reports) {
             p.packString(r.upstream()).packBoolean(r.cleared()).packInt(r.ageMillis());
             p.packArrayHeader(r.requests().size());
             for (RequestDigest d : r.requests()) {
@@ -32,18 +32,18 @@
     }
 
     static void pack(MessagePacker p, RequestDigest digest) throws IOException {
-        p.packInt(digest.target()).packLong(digest.high()).packLong(digest.low());
+        p.packInt(digest.pathHash()).packLong(digest.high()).packLong(digest.low());
     }
 
     static RequestDigest unpackDigest(MessageUnpacker u) throws IOException {
         return new RequestDigest(u.unpackInt(), u.unpackLong(), u.unpackLong());
     }
 
-    static List<EndReport> unpack(MessageUnpacker u) throws IOException {
+    static List<CrashReport> unpack(MessageUnpacker u) throws IOException {
         int n = count(u);
-        List<EndReport> reports = new ArrayList<>();
+        List<CrashReport> reports = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            reports.add(new EndReport(u.unpackString(), u.unpackBoolean(), age(u.unpackInt()), digests(u)));
+            reports.add(new CrashReport(u.unpackString(), u.unpackBoolean(), age(u.unpackInt()), digests(u)));
         }
         return reports;
     }
--- a/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameCodec.java
@@ -28,7 +28,7 @@
     public static final int LENGTH_BYTES = 4;
 
     /** The largest frame, in bytes. */
-    public static final int FRAME_MOST = 4 * 1024 * 1024;
+    public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private static final int HEADERS_MOST = 256;
 
@@ -79,7 +79,7 @@
             case Message.Head m -> {
                 packId(p, m.id()).packInt(m.status());
                 packHeaders(p, m.headers());
-                p.packBoolean(m.settled());
+                p.packBoolean(m.retriesExhausted());
                 packReport(p, m.report());
             }
             case Message.Data m -> {
@@ -96,26 +96,27 @@
             case Message.Cancel m -> packId(p, m.id());
             case Message.Spend m -> packId(p, m.id()).packLong(m.ticket());
             case Message.Grant m -> packId(p, m.id()).packLong(m.ticket()).packBoolean(m.granted());
-            case Message.Inquire m -> packId(p, m.id()).packLong(m.sentTo()).packLong(m.sentClock());
-            case Message.KeyAsk m ->
+            case Message.Inquire m ->
+                packId(p, m.id()).packLong(m.targetIncarnation()).packLong(m.targetClock());
+            case Message.KeyQuery m ->
                 p.packLong(m.ticket())
-                        .packString(m.asked())
-                        .packString(m.asker())
-                        .packBoolean(m.vouch())
+                        .packString(m.formerOwner())
+                        .packString(m.newOwner())
+                        .packBoolean(m.vouchForPredecessors())
                         .packString(m.key());
-            case Message.KeyTold m -> {
+            case Message.KeyReply m -> {
                 p.packLong(m.ticket());
                 KeptAnswerCodec.packFact(p, m.fact());
             }
-            case Message.KeyHandOn m -> {
+            case Message.KeyTransfer m -> {
                 p.packString(m.key()).packLong(m.fingerprint());
                 KeptAnswerCodec.pack(p, m.outcome());
             }
-            case Message.KeysHandedOn m -> p.packString(m.upstream());
-            case Message.PlanWanted m -> p.packNil();
-            case Message.PlanTold m -> packBytes(p, m.document());
-            case Message.QuotaAsk m -> QuotaCodec.pack(p, m);
-            case Message.QuotaTold m -> QuotaCodec.pack(p, m);
+            case Message.KeyTransferEnd m -> p.packString(m.upstream());
+            case Message.PlanRequest m -> p.packNil();
+            case Message.PlanReply m -> packBytes(p, m.document());
+            case Message.QuotaRequest m -> QuotaCodec.pack(p, m);
+            case Message.QuotaReply m -> QuotaCodec.pack(p, m);
         }
     }
 
@@ -135,16 +136,16 @@
             case GRANT -> new Message.Grant(unpackId(u), u.unpackLong(), u.unpackBoolean());
             case INQUIRE -> new Message.Inquire(unpackId(u), u.unpackLong(), u.unpackLong());
             case KEY_ASK ->
-                new Message.KeyAsk(
+                new Message.KeyQuery(
                         u.unpackLong(), u.unpackString(), u.unpackString(), u.unpackBoolean(), u.unpackString());
-            case KEY_TOLD -> new Message.KeyTold(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
-            case KEY_HAND_ON -> new Message.KeyHandOn(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
-            case KEYS_HANDED_ON -> new Message.KeysHandedOn(u.unpackString());
+            case KEY_TOLD -> new Message.KeyReply(u.unpackLong(), KeptAnswerCodec.unpackFact(u));
+            case KEY_HAND_ON -> new Message.KeyTransfer(u.unpackString(), u.unpackLong(), KeptAnswerCodec.unpack(u));
+            case KEYS_HANDED_ON -> new Message.KeyTransferEnd(u.unpackString());
             case PLAN_WANTED -> {
                 u.unpackNil();
-                yield new Message.PlanWanted();
+                yield new Message.PlanRequest();
             }
-            case PLAN_TOLD -> new Message.PlanTold(unpackBytes(u));
+            case PLAN_TOLD -> new Message.PlanReply(unpackBytes(u));
             case QUOTA_ASK -> QuotaCodec.unpackAsk(u);
             case QUOTA_TOLD -> QuotaCodec.unpackTold(u);
         };
@@ -221,9 +222,9 @@
                 .packInt(r.level())
                 .packInt(r.directLevel())
                 .packBoolean(r.draining());
-        p.packString(r.below().service())
-                .packInt(r.below().level())
-                .packInt(r.below().ageMillis());
+        p.packString(r.deeperLevel().service())
+                .packInt(r.deeperLevel().level())
+                .packInt(r.deeperLevel().ageMillis());
     }
 
     private static Message.Report unpackReport(MessageUnpacker u) throws IOException {
@@ -231,8 +232,8 @@
                 u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackInt(), u.unpackBoolean(), unpackBelow(u));
     }
 
-    private static Message.Below unpackBelow(MessageUnpacker u) throws IOException {
-        return new Message.Below(u.unpackString(), u.unpackInt(), u.unpackInt());
+    private static Message.DeeperLevel unpackBelow(MessageUnpacker u) throws IOException {
+        return new Message.DeeperLevel(u.unpackString(), u.unpackInt(), u.unpackInt());
     }
 
     static void packBytes(MessagePacker p, byte[] bytes) throws IOException {
@@ -242,7 +243,7 @@
 
     static byte[] unpackBytes(MessageUnpacker u) throws IOException {
         int n = u.unpackBinaryHeader();
-        if (n > FRAME_MOST) {
+        if (n > MAX_FRAME_BYTES) {
             throw malformed(n + " bytes of payload");
         }
         return u.readPayload(n);
--- a/wire/src/main/java/org/verbenadyke/wire/FrameType.java
+++ b/wire/src/main/java/org/verbenadyke/wire/FrameType.java
@@ -24,13 +24,13 @@
     KEY_TOLD,
     KEY_HAND_ON,
     KEYS_HANDED_ON,
-    /** {@link Message.PlanWanted}. */
+    /** {@link Message.PlanRequest}. */
     PLAN_WANTED,
-    /** {@link Message.PlanTold}. */
+    /** {@link Message.PlanReply}. */
     PLAN_TOLD,
-    /** {@link Message.QuotaAsk}. */
+    /** {@link Message.QuotaRequest}. */
     QUOTA_ASK,
-    /** {@link Message.QuotaTold}. */
+    /** {@link Message.QuotaReply}. */
     QUOTA_TOLD;
 
     private static final FrameType[] ALL = values();
@@ -60,14 +60,14 @@
             case Message.Spend m -> SPEND;
             case Message.Grant m -> GRANT;
             case Message.Inquire m -> INQUIRE;
-            case Message.KeyAsk m -> KEY_ASK;
-            case Message.KeyTold m -> KEY_TOLD;
-            case Message.KeyHandOn m -> KEY_HAND_ON;
-            case Message.KeysHandedOn m -> KEYS_HANDED_ON;
-            case Message.PlanWanted m -> PLAN_WANTED;
-            case Message.PlanTold m -> PLAN_TOLD;
-            case Message.QuotaAsk m -> QUOTA_ASK;
-            case Message.QuotaTold m -> QUOTA_TOLD;
+            case Message.KeyQuery m -> KEY_ASK;
+            case Message.KeyReply m -> KEY_TOLD;
+            case Message.KeyTransfer m -> KEY_HAND_ON;
+            case Message.KeyTransferEnd m -> KEYS_HANDED_ON;
+            case Message.PlanRequest m -> PLAN_WANTED;
+            case Message.PlanReply m -> PLAN_TOLD;
+            case Message.QuotaRequest m -> QUOTA_ASK;
+            case Message.QuotaReply m -> QUOTA_TOLD;
         };
     }
 }
--- a/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/GossipCodec.java
@@ -78,22 +78,22 @@
         switch (message) {
             case GossipMessage.Rumor m -> {
                 p.packByte(RUMOR).packString(m.from()).packLong(m.ticket());
-                packView(p, m.view());
-                packRecords(p, m.news());
+                packView(p, m.summary());
+                packRecords(p, m.updates());
             }
             case GossipMessage.Ack m -> {
                 p.packByte(ACK).packString(m.from()).packLong(m.ticket());
-                packView(p, m.view());
-                packRecords(p, m.news());
+                packView(p, m.summary());
+                packRecords(p, m.updates());
             }
             case GossipMessage.Probe m -> {
                 p.packByte(PROBE).packString(m.from()).packLong(m.ticket());
-                packEndpoint(p, m.asker());
+                packEndpoint(p, m.requester());
                 packEndpoint(p, m.target());
             }
             case GossipMessage.ProbeAck m -> p.packByte(PROBE_ACK).packLong(m.ticket());
             case GossipMessage.Buckets m -> {
-                p.packByte(BUCKETS).packString(m.from()).packBoolean(m.answer());
+                p.packByte(BUCKETS).packString(m.from()).packBoolean(m.replyRequested());
                 p.packArrayHeader(m.digests().size());
                 for (long digest : m.digests()) {
                     p.packLong(digest);
@@ -103,12 +103,12 @@
                 p.packByte(RECORDS);
                 packRecords(p, m.records());
             }
-            case GossipMessage.ConfigWanted m -> p.packByte(CONFIG_WANTED).packString(m.from());
-            case GossipMessage.ConfigNews m -> {
+            case GossipMessage.ConfigRequest m -> p.packByte(CONFIG_WANTED).packString(m.from());
+            case GossipMessage.ConfigUpdate m -> {
                 p.packByte(CONFIG_NEWS);
                 ConfigCodec.packState(p, m.state());
             }
-            case GossipMessage.Ends m -> {
+            case GossipMessage.CrashReports m -> {
                 p.packByte(ENDS).packString(m.from());
                 EndReports.pack(p, m.reports());
             }
@@ -125,20 +125,20 @@
             case PROBE_ACK -> new GossipMessage.ProbeAck(u.unpackLong());
             case BUCKETS -> new GossipMessage.Buckets(u.unpackString(), u.unpackBoolean(), unpackDigests(u));
             case RECORDS -> new GossipMessage.Records(records.unpack(u));
-            case CONFIG_WANTED -> new GossipMessage.ConfigWanted(u.unpackString());
-            case ENDS -> new GossipMessage.Ends(u.unpackString(), EndReports.unpack(u));
-            case CONFIG_NEWS -> new GossipMessage.ConfigNews(ConfigCodec.unpackState(u));
+            case CONFIG_WANTED -> new GossipMessage.ConfigRequest(u.unpackString());
+            case ENDS -> new GossipMessage.CrashReports(u.unpackString(), EndReports.unpack(u));
+            case CONFIG_NEWS -> new GossipMessage.ConfigUpdate(ConfigCodec.unpackState(u));
             default -> throw VerbenadykeException.of(ErrorCode.RECORD_UNREADABLE, "datagram of type " + kind);
         };
     }
 
-    private static void packView(MessagePacker p, GossipMessage.View view) throws IOException {
+    private static void packView(MessagePacker p, GossipMessage.Summary view) throws IOException {
         p.packLong(view.digest()).packLong(view.configVersion()).packLong(view.planVersion());
-        p.packInt(view.followedMillis()).packLong(view.endsFingerprint());
+        p.packInt(view.followerAgeMillis()).packLong(view.crashesFingerprint());
     }
 
-    private static GossipMessage.View unpackView(MessageUnpacker u) throws IOException {
-        return new GossipMessage.View(u.unpackLong(), u.unpackLong(), u.unpackLong(), u.unpackInt(), u.unpackLong());
+    private static GossipMessage.Summary unpackView(MessageUnpacker u) throws IOException {
+        return new GossipMessage.Summary(u.unpackLong(), u.unpackLong(), u.unpackLong(), u.unpackInt(), u.unpackLong());
     }
 
     private static void packEndpoint(MessagePacker p, Endpoint endpoint) throws IOException {
--- a/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/KeptAnswerCodec.java
@@ -5,7 +5,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 /**
  * Encodes what is known of keys.
@@ -19,33 +19,34 @@
 
     private KeptAnswerCodec() {}
 
-    static void pack(MessagePacker p, KeptAnswer answer) throws IOException {
+    static void pack(MessagePacker p, StoredOutcome answer) throws IOException {
         switch (answer) {
-            case KeptAnswer.Whole w -> {
+            case StoredOutcome.CompleteAnswer w -> {
                 p.packByte(WHOLE).packInt(w.status());
                 FrameCodec.packHeaders(p, w.headers());
                 FrameCodec.packBytes(p, w.body());
             }
-            case KeptAnswer.Lost l -> {
+            case StoredOutcome.NoAnswer l -> {
                 p.packByte(LOST);
                 FrameCodec.packRefusal(p, l.refusal());
             }
         }
     }
 
-    static KeptAnswer unpack(MessageUnpacker u) throws IOException {
+    static StoredOutcome unpack(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case WHOLE -> new KeptAnswer.Whole(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
-            case LOST -> new KeptAnswer.Lost(FrameCodec.unpackRefusal(u));
+            case WHOLE ->
+                new StoredOutcome.CompleteAnswer(u.unpackInt(), FrameCodec.unpackHeaders(u), FrameCodec.unpackBytes(u));
+            case LOST -> new StoredOutcome.NoAnswer(FrameCodec.unpackRefusal(u));
             default -> throw FrameCodec.malformed("kept answer " + kind);
         };
     }
 
     static void packFact(MessagePacker p, Message.KeyFact fact) throws IOException {
         switch (fact) {
-            case Message.KeyFact.Unknown f -> p.packByte(UNKNOWN);
-            case Message.KeyFact.Unsure f -> p.packByte(UNSURE);
+            case Message.KeyFact.NeverRan f -> p.packByte(UNKNOWN);
+            case Message.KeyFact.Undetermined f -> p.packByte(UNSURE);
             case Message.KeyFact.Known f -> {
                 p.packByte(KNOWN).packLong(f.fingerprint());
                 pack(p, f.outcome());
@@ -56,8 +57,8 @@
     static Message.KeyFact unpackFact(MessageUnpacker u) throws IOException {
         byte kind = u.unpackByte();
         return switch (kind) {
-            case UNKNOWN -> new Message.KeyFact.Unknown();
-            case UNSURE -> new Message.KeyFact.Unsure();
+            case UNKNOWN -> new Message.KeyFact.NeverRan();
+            case UNSURE -> new Message.KeyFact.Undetermined();
             case KNOWN -> new Message.KeyFact.Known(u.unpackLong(), unpack(u));
             default -> throw FrameCodec.malformed("key fact " + kind);
         };
--- a/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
@@ -12,7 +12,7 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 /**
  * Encodes member records for the log and for gossip.
@@ -77,7 +77,7 @@
                 MemberState.values()[u.unpackInt()],
                 new Endpoint(u.unpackString(), u.unpackInt()),
                 new Endpoint(u.unpackString(), u.unpackInt()),
-                new Place(u.unpackString(), u.unpackString()),
+                new Location(u.unpackString(), u.unpackString()),
                 u.unpackString(),
                 u.unpackLong(),
                 u.unpackInt());
--- a/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/QuotaCodec.java
@@ -12,13 +12,13 @@
 final class QuotaCodec {
     private QuotaCodec() {}
 
-    static void pack(MessagePacker p, Message.QuotaAsk m) throws IOException {
+    static void pack(MessagePacker p, Message.QuotaRequest m) throws IOException {
         p.packLong(m.ticket()).packString(m.node()).packString(m.team());
-        p.packInt(m.held()).packInt(m.returned()).packInt(m.needed()).packInt(m.wanted());
+        p.packInt(m.leased()).packInt(m.returned()).packInt(m.needed()).packInt(m.requested());
     }
 
-    static Message.QuotaAsk unpackAsk(MessageUnpacker u) throws IOException {
-        return new Message.QuotaAsk(
+    static Message.QuotaRequest unpackAsk(MessageUnpacker u) throws IOException {
+        return new Message.QuotaRequest(
                 u.unpackLong(),
                 u.unpackString(),
                 u.unpackString(),
@@ -28,13 +28,13 @@
                 u.unpackInt());
     }
 
-    static void pack(MessagePacker p, Message.QuotaTold m) throws IOException {
-        p.packLong(m.ticket()).packString(m.team()).packBoolean(m.dealt());
-        p.packInt(m.granted()).packLong(m.afterMillis());
+    static void pack(MessagePacker p, Message.QuotaReply m) throws IOException {
+        p.packLong(m.ticket()).packString(m.team()).packBoolean(m.fromAllocator());
+        p.packInt(m.granted()).packLong(m.availableAfterMillis());
     }
 
-    static Message.QuotaTold unpackTold(MessageUnpacker u) throws IOException {
-        return new Message.QuotaTold(
+    static Message.QuotaReply unpackTold(MessageUnpacker u) throws IOException {
+        return new Message.QuotaReply(
                 u.unpackLong(), u.unpackString(), u.unpackBoolean(), u.unpackInt(), u.unpackLong());
     }
 }
--- a/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/FrameCodecTest.java
@@ -14,7 +14,7 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.kernel.error.VerbenadykeException;
 import org.verbenadyke.kernel.message.Message;
-import org.verbenadyke.kernel.once.KeptAnswer;
+import org.verbenadyke.kernel.once.StoredOutcome;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -23,7 +23,8 @@
 /** Tests {@link FrameCodec}, with bytes changed at random too. */
 final class FrameCodecTest {
     private static final CallId ID = new CallId(-3, 9);
-    private static final Message.Report REPORT = new Message.Report(1, 2, 4, 3, true, new Message.Below("deep", 4, 5));
+    private static final Message.Report REPORT =
+            new Message.Report(1, 2, 4, 3, true, new Message.DeeperLevel("deep", 4, 5));
     private static final List<HeaderField> HEADERS = List.of(new HeaderField("a", "b"), new HeaderField("ü", ""));
     private static final int CHANGES = 20_000;
 
@@ -51,15 +52,17 @@
             new Message.Spend(ID, 6),
             new Message.Grant(ID, 6, false),
             new Message.Inquire(ID, 3, 4),
-            new Message.KeyAsk(1, "you", "me", true, "k"),
-            new Message.KeyTold(1, new Message.KeyFact.Unsure()),
-            new Message.KeyTold(1, new Message.KeyFact.Known(2, new KeptAnswer.Whole(201, HEADERS, new byte[] {4}))),
-            new Message.KeyHandOn("k", 2, new KeptAnswer.Lost(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
-            new Message.KeysHandedOn("u"),
-            new Message.PlanWanted(),
-            new Message.PlanTold(new byte[] {1, 2}),
-            new Message.QuotaAsk(1L << 40, "me", "team", 1, 2, 3, 4),
-            new Message.QuotaTold(1L << 40, "team", true, 5, 6));
+            new Message.KeyQuery(1, "you", "me", true, "k"),
+            new Message.KeyReply(1, new Message.KeyFact.Undetermined()),
+            new Message.KeyReply(
+                    1, new Message.KeyFact.Known(2, new StoredOutcome.CompleteAnswer(201, HEADERS, new byte[] {4}))),
+            new Message.KeyTransfer(
+                    "k", 2, new StoredOutcome.NoAnswer(Refusal.mayHaveRun(RefusalReason.UPSTREAM_BROKEN))),
+            new Message.KeyTransferEnd("u"),
+            new Message.PlanRequest(),
+            new Message.PlanReply(new byte[] {1, 2}),
+            new Message.QuotaRequest(1L << 40, "me", "team", 1, 2, 3, 4),
+            new Message.QuotaReply(1L << 40, "team", true, 5, 6));
 
     @Test
     void everyMessageComesBackAsItWas() {
--- a/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
+++ b/wire/src/test/java/org/verbenadyke/wire/GossipCodecTest.java
@@ -15,11 +15,11 @@
 import org.verbenadyke.kernel.membership.GossipMessage;
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberState;
-import org.verbenadyke.kernel.quarantine.EndReport;
-import org.verbenadyke.kernel.quarantine.HeldRequest;
+import org.verbenadyke.kernel.quarantine.CrashReport;
+import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
 import org.verbenadyke.kernel.routing.Endpoint;
-import org.verbenadyke.kernel.routing.Place;
+import org.verbenadyke.kernel.routing.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -53,7 +53,7 @@
     @Test
     void takesAllRecordsThatAreAsANodeWritesThem() {
         GossipMessage.Rumor rumor = new GossipMessage.Rumor(
-                "n", 7, new GossipMessage.View(1, 2, 3, 4, 5), List.of(member("a"), member("b"), member("c")));
+                "n", 7, new GossipMessage.Summary(1, 2, 3, 4, 5), List.of(member("a"), member("b"), member("c")));
         assertEquals(rumor, GossipCodec.decode(GossipCodec.encode(rumor)));
         assertEquals(
                 member("a"), MemberCodec.create().decode(MemberCodec.create().encode(member("a"))));
@@ -61,28 +61,36 @@
 
     @Test
     void takesReportsOfEndsAsANodeWritesThem() {
-        GossipMessage.Ends ends = new GossipMessage.Ends(
+        GossipMessage.CrashReports ends = new GossipMessage.CrashReports(
                 "n",
                 List.of(
-                        new EndReport("u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
-                        new EndReport("u", true, 0, List.of())));
+                        new CrashReport(
+                                "u", false, 7, List.of(new RequestDigest(-1, 2, 3), new RequestDigest(4, 5, 6))),
+                        new CrashReport("u", true, 0, List.of())));
         assertEquals(ends, GossipCodec.decode(GossipCodec.encode(ends)));
-        GossipMessage.Ends odd = new GossipMessage.Ends("n", List.of(new EndReport("u", false, -1, List.of())));
+        GossipMessage.CrashReports odd =
+                new GossipMessage.CrashReports("n", List.of(new CrashReport("u", false, -1, List.of())));
         byte[] bytes = GossipCodec.encode(odd);
         assertThrows(VerbenadykeException.class, () -> GossipCodec.decode(bytes));
     }
 
     @Test
     void tellsHeldRequestsAndMembersOnTheLogApart() {
-        HeldRequest held = new HeldRequest(
+        QuarantinedRequest held = new QuarantinedRequest(
                 new RequestDigest(-1, 2, 3),
-                List.of(new HeldRequest.End("u", false, 1_800_000_000_000L), new HeldRequest.End("v", true, 5)));
-        byte[] heldBytes = HeldCodec.create().encode(held);
+                List.of(
+                        new QuarantinedRequest.Crash("u", false, 1_800_000_000_000L),
+                        new QuarantinedRequest.Crash("v", true, 5)));
+        byte[] heldBytes = QuarantinedRequestCodec.create().encode(held);
         byte[] memberBytes = MemberCodec.create().encode(member("a"));
-        assertEquals(held, HeldCodec.create().decode(heldBytes));
+        assertEquals(held, QuarantinedRequestCodec.create().decode(heldBytes));
         assertThrows(VerbenadykeException.class, () -> MemberCodec.create().decode(heldBytes));
-        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(memberBytes));
-        assertThrows(VerbenadykeException.class, () -> HeldCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
+        assertThrows(
+                VerbenadykeException.class,
+                () -> QuarantinedRequestCodec.create().decode(memberBytes));
+        assertThrows(
+                VerbenadykeException.class,
+                () -> QuarantinedRequestCodec.create().decode(Arrays.copyOf(heldBytes, 9)));
     }
 
     @Test
@@ -139,7 +147,7 @@
 
     private static MemberRecord member(String id) {
         Endpoint here = new Endpoint("127.0.0.1", 80);
-        return new MemberRecord(id, 1L << 60, 3, MemberState.ALIVE, here, here, new Place("r", "d"), "s", 5, 0);
+        return new MemberRecord(id, 1L << 60, 3, MemberState.ALIVE, here, here, new Location("r", "d"), "s", 5, 0);
     }
 
     /** What may be odd in a record. */
