--- a/node/src/main/java/org/verbenadyke/node/transport/SharedLoops.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/SharedLoops.java
@@ -8,8 +8,8 @@
 import io.servicetalk.transport.netty.internal.EventLoopAwareNettyIoExecutors;
 
 /**
- * Takes the threads that ServiceTalk serves HTTP on. Apart from {@link EventLoops}, so that a node without ServiceTalk needs
- * none of its libraries.
+ * Takes the threads that ServiceTalk serves HTTP on. Apart from {@link EventLoops}, so that a node without ServiceTalk
+ * needs none of its libraries.
  */
 public final class SharedLoops {
     private SharedLoops() {}
