--- a/kernel/src/main/java/org/verbenadyke/kernel/metrics/Counters.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/metrics/Counters.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.call.RunState;
 
 /**
- * The counters of one node. Safe for many threads.
+ * The counters of one node. Thread-safe.
  */
 public final class Counters {
     private final LongAdder[][] refusals;
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Counts a retry, or one that was denied.
+     * Counts a retry that was made or denied.
      *
-     * @param reason why
+     * @param reason why the retry was made or denied
      */
     public void retried(RetryReason reason) {
         retries[reason.ordinal()].increment();
@@ -74,7 +74,7 @@
     /**
      * Reads a counter.
      *
-     * @param reason why
+     * @param reason why the retries were made or denied
      * @return how many retries were made or denied
      */
     public long retries(RetryReason reason) {
@@ -85,7 +85,7 @@
      * Reads a counter.
      *
      * @param event what happened
-     * @return how often
+     * @return how often the event occurred
      */
     public long events(Event event) {
         return events[event.ordinal()].sum();
--- a/kernel/src/main/java/org/verbenadyke/kernel/metrics/Event.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/metrics/Event.java
@@ -3,42 +3,42 @@
 import java.util.Locale;
 
 /**
- * What is counted besides refusals and retries.
+ * The events that are counted, apart from refusals and retries.
  */
 public enum Event {
-    /** A request entered here. */
+    /** A request of a caller entered at this node. */
     REQUEST_IN,
-    /** A whole answer was given to a caller. */
+    /** A complete answer was sent to a caller. */
     ANSWER_WHOLE,
-    /** An answer was cut short, and the caller can tell. */
+    /** An answer was aborted, in a way that the caller can detect. */
     ANSWER_ABORTED,
-    /** A call was received from a node. */
+    /** A call was received from a calling node. */
     CALL_IN,
-    /** A call was handed to the upstream. */
+    /** A call was passed to the upstream. */
     HANDED_OVER,
     /** A message matched no call and was dropped. */
     MESSAGE_UNMATCHED,
     /** A call arrived twice; the second was dropped. */
     CALL_REPEATED,
-    /** A connection went silent and was closed. */
+    /** A silent connection was closed. */
     LINK_SILENT,
-    /** A connection ended for another reason. */
+    /** A connection was lost for another reason. */
     LINK_LOST,
-    /** A malformed or oversized frame ended its connection. */
+    /** A connection was closed because of a malformed or oversized frame. */
     FRAME_REJECTED,
-    /** An attempt's fate was asked for over a new connection. */
+    /** An inquiry about an attempt's execution status was sent over a new connection. */
     INQUIRED,
-    /** A kept answer was given again. */
+    /** A stored answer was sent again. */
     ANSWER_REPLAYED,
-    /** A steering header of an outside caller was dropped. */
+    /** A control header of an outside caller was dropped. */
     HEADER_DROPPED,
-    /** An upstream was taken out of the choice for a while. */
+    /** An upstream was ejected from routing for a while. */
     UPSTREAM_EJECTED,
-    /** The process was found to have been paused. */
+    /** A pause of the process was detected. */
     PAUSE_DETECTED,
-    /** A configuration came into force. */
+    /** A configuration took effect. */
     CONFIG_APPLIED,
-    /** A configuration record lost against another on the same base. */
+    /** A configuration record was superseded by another based on the same version. */
     CONFIG_REJECTED,
     /** The log service failed to answer. */
     LOG_FAILED,
@@ -46,17 +46,17 @@
     LOG_APPENDED,
     /** The log lost what it had acknowledged: its history was replaced by an older copy. */
     LOG_REPLACED,
-    /** A record or a datagram that can't be read, or a record under another's key, was left out. */
+    /** An unreadable record or datagram, or a record under another record's key, was skipped. */
     RECORD_SKIPPED,
     /** A gossip message was sent. */
     GOSSIP_SENT,
     /** A gossip message was received. */
     GOSSIP_RECEIVED,
-    /** A request began to be held back, since upstreams ended under it. */
+    /** A request was quarantined, since upstreams crashed while it was in flight. */
     QUARANTINE_BEGUN,
-    /** A request that was held back was answered in a trial, and is no longer held back. */
+    /** A quarantined request was answered in a trial, and is no longer quarantined. */
     QUARANTINE_LIFTED,
-    /** An invariant was breached. */
+    /** An invariant was violated. */
     INVARIANT_BREACHED;
 
     /**
