--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreParts.java
@@ -19,22 +19,22 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * What a node's decision logic works with.
+ * The components and settings that a node's decision logic uses.
  *
  * @param self the node's first record
- * @param seeds nodes to ask at the start
- * @param timers the time
+ * @param seeds nodes to contact at the start
+ * @param timers the clock and timers
  * @param transport opens connections to other nodes
  * @param datagrams sends datagrams to other nodes
  * @param log the log
- * @param members encodes member records
- * @param held encodes requests that are held back
- * @param configuration encodes configuration entries
- * @param random where each thread's randomness comes from
+ * @param memberCodec encodes member records
+ * @param quarantineCodec encodes quarantined requests
+ * @param configurationCodec encodes configuration entries
+ * @param random the source of each thread's randomness
  * @param plans the routes in force
  * @param counters the node's counters
- * @param ledger checks the promises
- * @param decisions takes what is to be explained later
+ * @param ledger checks the invariants
+ * @param decisions records decisions to explain later
  */
 public record CoreParts(
         MemberRecord self,
@@ -43,9 +43,9 @@
         Transport transport,
         DatagramPort datagrams,
         LogService log,
-        RecordCodec<MemberRecord> members,
-        RecordCodec<QuarantinedRequest> held,
-        RecordCodec<ConfigEntry> configuration,
+        RecordCodec<MemberRecord> memberCodec,
+        RecordCodec<QuarantinedRequest> quarantineCodec,
+        RecordCodec<ConfigEntry> configurationCodec,
         Supplier<RandomGenerator> random,
         RoutePlanStore plans,
         Counters counters,
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -8,15 +8,16 @@
 import org.verbenadyke.kernel.quota.QuotaTolerance;
 
 /**
- * How a node decides.
+ * The settings of a node's decision logic.
  *
  * @param policy the request path
- * @param gossip how news travels
+ * @param gossip how updates spread and failures are detected
  * @param config how the configuration's stream is read and written
- * @param owner how long doubts about a key's owner last
- * @param rewriteNanos how often a node writes its record to the log again, in nanoseconds
- * @param spreadNanos over how long nodes that start together spread their first reading of the members, in nanoseconds
- * @param quota how teams are held to their limits
+ * @param owner how long the ownership of a key stays in doubt
+ * @param rewriteNanos how often a node rewrites its record on the log, in nanoseconds
+ * @param startSpreadNanos over how long nodes that start together spread their first reading of the members, in
+ *     nanoseconds
+ * @param quota how teams' limits are enforced
  */
 public record CoreSettings(
         Policy policy,
@@ -24,18 +25,18 @@
         ConfigSettings config,
         OwnerSettings owner,
         long rewriteNanos,
-        long spreadNanos,
+        long startSpreadNanos,
         QuotaSettings quota) {
     private static final long DEFAULT_REWRITE_NANOS = 3_600_000_000_000L;
 
     /**
-     * The spread at the fleet's very first start, when nobody is listed yet, so that all but the first few find enough
-     * others listed and need not ask the store for the routes.
+     * The spread at the fleet's very first start, when no node is registered yet: all but the first few nodes then find
+     * enough others registered, and need not request the routes from the store.
      */
     private static final long FIRST_SPREAD_NANOS = 400_000_000L;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @param policy the request path
      * @return the settings
@@ -52,7 +53,7 @@
     }
 
     /**
-     * Returns the settings of a node whose configuration is not on the product's own log.
+     * Returns the default settings of a node whose configuration is not kept on the node's own log.
      *
      * @param policy the request path
      * @return the settings
@@ -63,7 +64,7 @@
     }
 
     /**
-     * Returns the settings of a node that starts together with all others for the first time.
+     * Returns the same settings for a node that starts together with all others for the first time.
      *
      * @return the settings
      */
@@ -72,13 +73,13 @@
     }
 
     /**
-     * Returns the same settings with a tolerance of teams' limits.
+     * Returns the same settings with a tolerance for teams' limits.
      *
      * @param tolerance by how much limits may be exceeded
      * @return the settings
      */
     public CoreSettings withQuotaTolerance(QuotaTolerance tolerance) {
         return new CoreSettings(
-                policy, gossip, config, owner, rewriteNanos, spreadNanos, QuotaSettings.with(tolerance));
+                policy, gossip, config, owner, rewriteNanos, startSpreadNanos, QuotaSettings.with(tolerance));
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/FinishedStarts.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/FinishedStarts.java
@@ -5,12 +5,12 @@
 import java.util.OptionalLong;
 
 /**
- * Remembers the starts of the upstream beside a node that are over, so that a heartbeat which was held up on the way
- * revives none of them. A later start under the same id isn't over.
+ * The starts of the colocated upstream that are over, kept so that a delayed heartbeat revives none of them. A later
+ * start under the same id isn't over.
  */
 final class FinishedStarts {
-    /** Ids that are remembered; an upstream is replaced a few times a day at most. */
-    private static final int IDS_MOST = 1_000;
+    /** The number of ids kept; an upstream is replaced a few times a day at most. */
+    private static final int MAX_IDS = 1_000;
 
     private final Map<String, Finished> byId = new LinkedHashMap<>();
 
@@ -20,22 +20,25 @@
         return new FinishedStarts();
     }
 
-    /** Notes that a start and all earlier ones under its id are over. */
+    /** Records that a start and all earlier ones under the same id are over. */
     void finish(UpstreamStart start) {
-        put(start.id(), new Finished(latest(find(start.id()).newestBorn(), start.startedMillis()), Long.MIN_VALUE));
+        put(
+                start.id(),
+                new Finished(latest(find(start.id()).newestStartedMillis(), start.startedMillis()), Long.MIN_VALUE));
     }
 
     /**
-     * Notes that an id's start is over of which no heartbeat was heard, so that the time of its start isn't known. Any
-     * start under the id counts as that one until some time, which is longer than a heartbeat is usually held up.
+     * Records that a start is over of which no heartbeat was received, so that its start time isn't known. Until
+     * {@code untilNanos} any start under the id counts as that one; the time must be longer than the usual delay of a
+     * heartbeat.
      */
-    void finishUnheard(String id, long untilNanos) {
+    void finishWithoutHeartbeat(String id, long untilNanos) {
         if (!byId.containsKey(id)) {
             put(id, new Finished(OptionalLong.empty(), untilNanos));
         }
     }
 
-    /** Tells whether a start is over; one that doesn't say when it was is, once any start under its id is over. */
+    /** Returns whether a start is over; a start without a start time is over once any start under its id is. */
     boolean covers(UpstreamStart start, long nowNanos) {
         Finished finished = byId.get(start.id());
         if (finished == null) {
@@ -44,11 +47,11 @@
         if (start.startedMillis().isEmpty()) {
             return true;
         }
-        if (nowNanos < finished.unheardUntilNanos()) {
+        if (nowNanos < finished.coversAnyStartUntilNanos()) {
             finish(start);
             return true;
         }
-        OptionalLong newest = finished.newestBorn();
+        OptionalLong newest = finished.newestStartedMillis();
         return newest.isPresent() && start.startedMillis().getAsLong() <= newest.getAsLong();
     }
 
@@ -57,7 +60,7 @@
     }
 
     private void put(String id, Finished finished) {
-        if (byId.size() >= IDS_MOST && !byId.containsKey(id)) {
+        if (byId.size() >= MAX_IDS && !byId.containsKey(id)) {
             byId.remove(byId.keySet().iterator().next());
         }
         byId.put(id, finished);
@@ -71,12 +74,12 @@
     }
 
     /**
-     * What is over under one id.
+     * The starts under one id that are over.
      *
-     * @param newestBorn when the newest start that is over was, in milliseconds since the epoch, if known
-     * @param unheardUntilNanos until when any start counts as the one of which nothing was heard
+     * @param newestStartedMillis the start time of the newest of them, in milliseconds since the epoch, if known
+     * @param coversAnyStartUntilNanos until when any start counts as the one of which no heartbeat was received
      */
-    private record Finished(OptionalLong newestBorn, long unheardUntilNanos) {
+    private record Finished(OptionalLong newestStartedMillis, long coversAnyStartUntilNanos) {
         private static final Finished NOTHING = new Finished(OptionalLong.empty(), Long.MIN_VALUE);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
@@ -10,16 +10,16 @@
 import org.verbenadyke.kernel.membership.MemberRecord;
 import org.verbenadyke.kernel.membership.MemberTable;
 import org.verbenadyke.kernel.quarantine.RequestDigest;
-import org.verbenadyke.kernel.quarantine.Trials;
+import org.verbenadyke.kernel.quarantine.TrialSchedule;
 import org.verbenadyke.kernel.routing.Rendezvous;
 import org.verbenadyke.kernel.routing.Upstream;
 import org.verbenadyke.kernel.serve.LocalUpstream;
 
 /**
- * What falls to this node among the members it knows. All nodes that know the same members agree without asking.
+ * The duties of this node among the members it knows. All nodes that know the same members agree without communicating.
  */
-final class MemberDuties implements Trials {
-    private static final int TAILERS = 3;
+final class MemberDuties implements TrialSchedule {
+    private static final int TAILERS_PER_DATA_CENTRE = 3;
 
     private final Supplier<MemberRecord> self;
     private final MemberTable table;
@@ -33,12 +33,12 @@
         return new MemberDuties(self, table);
     }
 
-    /** Tells whether this node is one of those that follow the log closely for their data centre. */
+    /** Returns whether this node is one of those that tail the log for their data centre. */
     boolean tailing() {
         MemberRecord me = self.get();
         int rank = MemberRank.of(
                 me.nodeId(), ConfigStore.STREAM, table.present(), r -> r.place().equals(me.place()));
-        return rank < TAILERS;
+        return rank < TAILERS_PER_DATA_CENTRE;
     }
 
     @Override
@@ -55,15 +55,15 @@
     }
 
     @Override
-    public boolean here(RequestDigest request, long turn) {
+    public boolean isLocal(RequestDigest request, long turn) {
         MemberRecord me = self.get();
         return upstream(request, me.service(), turn)
                 .filter(me.upstreamId()::equals)
                 .isPresent();
     }
 
-    /** Lists the upstreams that may take over what one of this node leaves behind. */
-    List<Upstream> heirs(LocalUpstream local) {
+    /** Lists the upstreams that may take over the state that the local upstream keeps after its shutdown. */
+    List<Upstream> takeoverCandidates(LocalUpstream local) {
         return table.accepting().stream()
                 .filter(u -> u.service().equals(local.service()) && !u.id().equals(local.id()))
                 .toList();
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -12,30 +12,33 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * The members' stream, by which a node without seeds finds the rest. Every node reads it at its start; only some are
- * listed there, and gossip leads from these to the others.
+ * The members' stream on the log, by which a node without seeds finds the others. Every node reads the stream at its
+ * start; only some nodes are registered there, and gossip leads from these to the rest.
  *
  * <p>Load pattern: all nodes of a fleet start within some tenths of a second, and each call to the log is paid for, so
- * that a start should cost one. A node lists itself when it finds few others listed, when none of them answers, and
- * when it becomes one of those that read the operators' record: these see to it that some listed nodes live.
+ * that a start should cost one call. A node registers when it finds few others registered, when none of those answers,
+ * and when it becomes a follower of the operators' record; the followers ensure that some registered nodes are alive.
  *
- * <p>A node that lists itself reads again afterwards. Of two such nodes the later one then sees the other, whatever the
- * order of their calls, so that no two groups stay apart.
+ * <p>A node that registers reads again afterwards. Of two such nodes the later one then sees the other, whatever the
+ * order of their calls, so that no two groups of nodes stay separate.
  */
 final class MemberLog {
     static final String STREAM = "members";
 
-    /** Others that must be listed for a node not to list itself: one of them lives but after rare disasters. */
-    static final int LISTED_ENOUGH = 5;
+    /**
+     * How many others must be registered for a node not to register: at least one of them is alive except after rare
+     * disasters.
+     */
+    static final int ENOUGH_REGISTERED = 5;
 
     private static final long RETRY_NANOS = 1_000_000_000L;
-    private static final long AGAIN_NANOS = 30_000_000_000L;
+    private static final long POLL_NANOS = 30_000_000_000L;
 
-    /** How often is looked whether any node answers, and whether this one must be listed: two rounds of gossip. */
-    private static final long LOOK_NANOS = 500_000_000L;
+    /** How often the node checks whether any other answers, and whether it must register: two rounds of gossip. */
+    private static final long CHECK_NANOS = 500_000_000L;
 
-    /** How long after the log's history was replaced it is read: others write their records again meanwhile. */
-    private static final long REPLACED_NANOS = 500_000_000L;
+    /** How long after the log's history was replaced the log is read: others write their records again meanwhile. */
+    private static final long REREAD_DELAY_NANOS = 500_000_000L;
 
     private final CoreParts parts;
     private final Host host;
@@ -45,16 +48,16 @@
     private boolean read;
     private boolean written;
     private boolean foundSelf;
-    private long quietUntil;
+    private long nextRegistrationNanos;
     private volatile boolean stopped;
 
     MemberLog(CoreParts parts, Host host) {
         this.parts = parts;
         this.host = host;
-        this.quietUntil = parts.timers().nanos();
+        this.nextRegistrationNanos = parts.timers().nanos();
     }
 
-    /** Reads who is listed, soon, and looks after this node's own record from then on. */
+    /** Reads the registered members soon, and maintains this node's own record from then on. */
     synchronized void start(long rewriteNanos, long spreadNanos) {
         if (spreadNanos > 0) {
             parts.timers().after(parts.random().get().nextLong(spreadNanos), this::read);
@@ -62,22 +65,22 @@
             read();
         }
         parts.log().onReplaced((before, now) -> replaced());
-        parts.timers().every(LOOK_NANOS, this::look);
+        parts.timers().every(CHECK_NANOS, this::checkRegistration);
         long jitter = parts.random().get().nextLong(rewriteNanos);
         parts.timers().after(jitter, () -> parts.timers().every(rewriteNanos, this::rewrite));
     }
 
-    /** Lists this node, or brings its record up to date. */
+    /** Registers this node, or updates its record. */
     synchronized void write() {
         if (stopped) {
             return;
         }
         written = true;
         MemberRecord self = host.self();
-        parts.log().append(STREAM, self.nodeId(), parts.members().encode(self), this::appended);
+        parts.log().append(STREAM, self.nodeId(), parts.memberCodec().encode(self), this::onAppended);
     }
 
-    /** Says on the log that this node has left, if it is listed there. */
+    /** Records on the log that this node has left, if it is registered there. */
     synchronized void leave() {
         if (written) {
             write();
@@ -92,44 +95,44 @@
     }
 
     /**
-     * Begins anew on a log whose history was replaced: this node's record may be gone from it, and offsets lead
-     * elsewhere. Whoever is listed writes at once, so that nodes which start find those that read the operators'
-     * record; a key that is missing now is taken for lost, not for dropped.
+     * Starts over on a log whose history was replaced: this node's record may be gone, and offsets point elsewhere.
+     * Every registered node writes at once, so that starting nodes find the followers of the operators' record; a key
+     * that is missing now counts as lost, not as deleted.
      */
     private synchronized void replaced() {
         nextOffset = 0;
         rewrite();
-        later(REPLACED_NANOS, this::read);
+        afterJitter(REREAD_DELAY_NANOS, this::read);
     }
 
-    private void appended(LogService.AppendResult result) {
+    private void onAppended(LogService.AppendResult result) {
         boolean done = result instanceof LogService.AppendResult.At;
         parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
         if (!done) {
-            later(AGAIN_NANOS, this::write);
+            afterJitter(POLL_NANOS, this::write);
         }
     }
 
-    private synchronized void look() {
-        if (stopped || !read || parts.timers().nanos() - quietUntil < 0) {
+    private synchronized void checkRegistration() {
+        if (stopped || !read || parts.timers().nanos() - nextRegistrationNanos < 0) {
             return;
         }
-        boolean alone = !host.heardAny() && !others.isEmpty();
-        boolean missing = host.reader() && !written;
+        boolean alone = !host.receivedAny() && !others.isEmpty();
+        boolean missing = host.isFollower() && !written;
         if (alone || missing) {
-            quietUntil =
+            nextRegistrationNanos =
                     parts.timers().nanos() + RETRY_NANOS + parts.random().get().nextLong(RETRY_NANOS);
-            list();
+            register();
         }
     }
 
-    /** Lists this node, and once that is done reads who listed itself before. */
-    private void list() {
+    /** Registers this node, and then reads which nodes registered before. */
+    private void register() {
         written = true;
-        host.listed();
+        host.registered();
         MemberRecord self = host.self();
-        parts.log().append(STREAM, self.nodeId(), parts.members().encode(self), result -> {
-            appended(result);
+        parts.log().append(STREAM, self.nodeId(), parts.memberCodec().encode(self), result -> {
+            onAppended(result);
             read();
         });
     }
@@ -139,89 +142,92 @@
             return;
         }
         reading = true;
-        parts.log().read(STREAM, nextOffset, 0, this::answered);
+        parts.log().read(STREAM, nextOffset, 0, this::onRead);
     }
 
-    private synchronized void answered(LogService.ReadResult result) {
+    private synchronized void onRead(LogService.ReadResult result) {
         reading = false;
         switch (result) {
             case LogService.ReadResult.Records r -> {
-                r.records().forEach(this::take);
-                // A page may have been read of which no record is left; only one that leads nowhere is the end.
+                r.records().forEach(this::handle);
+                // A page may have no record left; only an empty page that doesn't advance the offset is the end.
                 boolean atEnd = r.complete() || r.records().isEmpty() && r.nextOffset() <= nextOffset;
                 nextOffset = r.nextOffset();
                 if (atEnd) {
-                    readAll();
+                    readComplete();
                 } else {
                     read();
                 }
             }
             case LogService.ReadResult.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
-                // Whoever has been found by others needs no list.
-                later(host.heardAny() ? AGAIN_NANOS : RETRY_NANOS, this::read);
+                // A node that others have found needs no registered members.
+                afterJitter(host.receivedAny() ? POLL_NANOS : RETRY_NANOS, this::read);
             }
         }
     }
 
-    private void readAll() {
-        later(AGAIN_NANOS, this::readAgain);
+    private void readComplete() {
+        afterJitter(POLL_NANOS, this::readAgain);
         if (read) {
             return;
         }
         read = true;
         if (foundSelf) {
-            // Others find this start by the record of an earlier one at the same address.
+            // Others find this start by the record of an earlier start at the same address.
             written = true;
-            host.listed();
-        } else if (others.size() < LISTED_ENOUGH) {
-            list();
+            host.registered();
+        } else if (others.size() < ENOUGH_REGISTERED) {
+            register();
         }
     }
 
-    /** Looks for groups of nodes that know nothing of this one, on behalf of the others. */
+    /**
+     * Reads again if this node is a follower, to find groups of nodes that don't know this one, on behalf of the
+     * others.
+     */
     private synchronized void readAgain() {
-        if (host.reader()) {
+        if (host.isFollower()) {
             read();
         } else {
-            later(AGAIN_NANOS, this::readAgain);
+            afterJitter(POLL_NANOS, this::readAgain);
         }
     }
 
-    /** Takes one record; an odd one names nobody and must not end the reading of the others. */
-    private void take(LogService.LogRecord record) {
+    /** Handles one record; an unreadable one is skipped and must not prevent the others from being read. */
+    private void handle(LogService.LogRecord record) {
         MemberRecord member;
         try {
-            member = parts.members().decode(record.bytes());
+            member = parts.memberCodec().decode(record.bytes());
         } catch (VerbenadykeException e) {
-            takeHeld(record, e);
+            handleQuarantined(record, e);
             return;
         }
         if (!record.key().orElse(member.nodeId()).equals(member.nodeId())) {
             skip(record, "it names " + member.nodeId());
             return;
         }
-        note(member);
+        updateOthers(member);
         host.learn(member);
     }
 
-    /** Takes a record that is none of a member. */
-    private void takeHeld(LogService.LogRecord record, VerbenadykeException noMember) {
-        QuarantinedRequest held;
+    /** Handles a record that is no member record. */
+    private void handleQuarantined(LogService.LogRecord record, VerbenadykeException memberFault) {
+        QuarantinedRequest quarantined;
         try {
-            held = parts.held().decode(record.bytes());
+            quarantined = parts.quarantineCodec().decode(record.bytes());
         } catch (VerbenadykeException e) {
-            skip(record, noMember.getMessage());
+            skip(record, memberFault.getMessage());
             return;
         }
-        if (!record.key().orElse(held.key()).equals(held.key())) {
-            skip(record, "it names " + held.key());
+        if (!record.key().orElse(quarantined.key()).equals(quarantined.key())) {
+            skip(record, "it names " + quarantined.key());
             return;
         }
-        host.restore(held);
+        host.restore(quarantined);
     }
 
-    private void note(MemberRecord member) {
+    private void updateOthers(MemberRecord member) {
         MemberRecord self = host.self();
         boolean alive = member.state() == MemberState.ALIVE;
         if (member.nodeId().equals(self.nodeId())) {
@@ -233,36 +239,38 @@
         }
     }
 
-    private void skip(LogService.LogRecord record, String why) {
+    private void skip(LogService.LogRecord record, String reason) {
         parts.counters().count(Event.RECORD_SKIPPED);
-        parts.decisions().note(new Decision.RecordSkipped(STREAM, record.key().orElse(""), why));
+        parts.decisions().note(new Decision.RecordSkipped(STREAM, record.key().orElse(""), reason));
     }
 
-    /** Runs a step between half and one and a half of a delay from now, so that nodes don't act together. */
-    private void later(long nanos, Runnable step) {
+    /**
+     * Runs a step after a random delay from half to one and a half of {@code nanos}, so that nodes don't act at once.
+     */
+    private void afterJitter(long nanos, Runnable step) {
         parts.timers().after(nanos / 2 + parts.random().get().nextLong(nanos), step);
     }
 
     /**
-     * The node whose record is looked after.
+     * The node whose record is maintained.
      */
     interface Host {
         /** Returns the node's newest record. */
         MemberRecord self();
 
-        /** Takes the record of a member. */
+        /** Merges the record of a member. */
         void learn(MemberRecord member);
 
-        /** Takes a request that was held back. */
-        void restore(QuarantinedRequest held);
+        /** Restores a request that was quarantined. */
+        void restore(QuarantinedRequest quarantined);
 
-        /** Tells whether another node was heard since the start. */
-        boolean heardAny();
+        /** Returns whether a message of another node was received since the start. */
+        boolean receivedAny();
 
-        /** Tells whether this node is one of those that read the operators' record. */
-        boolean reader();
+        /** Returns whether this node is a follower of the operators' record. */
+        boolean isFollower();
 
-        /** Takes notice that this node is listed. */
-        void listed();
+        /** Called when this node is registered. */
+        void registered();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -32,11 +32,11 @@
 import org.verbenadyke.kernel.trace.Decision;
 
 /**
- * All decision logic of one node: the request path, the membership, the configuration and the owners of keys. Has no
- * input or output and no threads of its own.
+ * All decision logic of one node: the request path, the membership, the configuration and the owners of keys. Performs
+ * no input or output and has no threads of its own.
  */
 public final class NodeCore {
-    private static final long REFRESH_NANOS = 5_000_000L;
+    private static final long REFRESH_DEBOUNCE_NANOS = 5_000_000L;
 
     private final CoreParts parts;
     private final CoreSettings settings;
@@ -57,7 +57,7 @@
     private NodeCore(CoreParts parts, CoreSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.refreshing = Debounce.of(parts.timers(), REFRESH_NANOS, this::refreshNow);
+        this.refreshing = Debounce.of(parts.timers(), REFRESH_DEBOUNCE_NANOS, this::refreshNow);
         OwnerView view = OwnerView.of(table, parts.timers(), settings.owner(), this::leaving);
         this.quarantine = Quarantine.create(
                 parts.timers(), QuarantineSettings.standard(), parts.counters(), parts.decisions(), duties);
@@ -78,41 +78,41 @@
                 settings.gossip(),
                 parts.self(),
                 parts.seeds(),
-                new News());
+                new GossipListener());
         this.config = ConfigStore.start(
                 new ConfigStore.Parts(
                         parts.timers(),
                         parts.log(),
-                        parts.configuration(),
+                        parts.configurationCodec(),
                         parts.random().get(),
                         parts.counters(),
                         this::tailing,
-                        this::inForce),
+                        this::applyConfiguration),
                 settings.config());
-        HeldLog.start(parts, quarantine);
-        this.memberLog = new MemberLog(parts, new ListedNode(gossip, followDuty, quarantine));
+        QuarantineLog.start(parts, quarantine);
+        this.memberLog = new MemberLog(parts, new RegisteredNode(gossip, followDuty, quarantine));
     }
 
     /**
      * Creates a node's logic and subscribes it to the timers.
      *
-     * @param parts what it works with
-     * @param settings how it decides
+     * @param parts the components that the logic uses
+     * @param settings the settings of the logic
      * @return the logic
      */
     public static NodeCore start(CoreParts parts, CoreSettings settings) {
         NodeCore core = new NodeCore(parts, settings);
         core.refreshing.request();
-        core.memberLog.start(settings.rewriteNanos(), settings.spreadNanos());
-        PauseWatch.start(parts.timers(), core::paused);
+        core.memberLog.start(settings.rewriteNanos(), settings.startSpreadNanos());
+        PauseDetector.start(parts.timers(), core::paused);
         return core;
     }
 
     /**
-     * Takes the announcement of the upstream beside the node.
+     * Attaches the announced upstream that is colocated with the node.
      *
-     * @param service the service it serves
-     * @param port the way to it
+     * @param service the service that the upstream serves
+     * @param port sends calls to the upstream
      */
     public void announce(String service, UpstreamPort port) {
         selfDraining = false;
@@ -123,11 +123,11 @@
     }
 
     /**
-     * Takes the announcement of an upstream that says how many calls it runs at once.
+     * Attaches an announced upstream that reports how many calls it runs concurrently.
      *
-     * @param service the service it serves
-     * @param port the way to it
-     * @param slots how many calls it runs at once
+     * @param service the service that the upstream serves
+     * @param port sends calls to the upstream
+     * @param slots how many calls the upstream runs concurrently
      */
     public void announce(String service, UpstreamPort port, int slots) {
         selfDraining = false;
@@ -137,28 +137,28 @@
         refreshing.request();
     }
 
-    /** Takes the news that the upstream is gone; the node goes on without one. */
+    /** Detaches the upstream, which is gone; the node goes on without one. */
     public void withdraw() {
         engine.server().detach();
         gossip.change(selfDraining ? MemberState.DRAINING : MemberState.ALIVE, "");
         refreshing.request();
     }
 
-    /** Tells other nodes that this one has new routes. */
+    /** Informs other nodes that this one has new routes. */
     public void plansChanged() {
         gossip.pushPlan();
     }
 
-    /** Takes the upstream's news that it is leaving. */
+    /** Called when the upstream reports that it is leaving. */
     public void drain() {
         selfDraining = true;
         engine.server().upstream().ifPresent(u -> u.drain(true));
         gossip.change(MemberState.DRAINING, gossip.self().service());
     }
 
-    /** Hands the keys on and says that the node stops as planned; called when nothing is in flight any more. */
+    /** Transfers the keys and announces that the node stops as planned; called when nothing is in flight any more. */
     public void leave() {
-        engine.server().upstream().ifPresent(u -> owners.transferKeys(u, duties.heirs(u)));
+        engine.server().upstream().ifPresent(u -> owners.transferKeys(u, duties.takeoverCandidates(u)));
         gossip.change(MemberState.LEFT, gossip.self().service());
         memberLog.leave();
     }
@@ -170,9 +170,9 @@
     }
 
     /**
-     * Takes a datagram of another node.
+     * Handles a datagram of another node.
      *
-     * @param from where it listens
+     * @param from where the other node listens
      * @param message the datagram
      */
     public void received(Endpoint from, GossipMessage message) {
@@ -189,9 +189,9 @@
     }
 
     /**
-     * Returns the configuration's keeper.
+     * Returns the store of the configuration.
      *
-     * @return the keeper
+     * @return the store
      */
     public ConfigStore config() {
         return config;
@@ -207,7 +207,7 @@
     }
 
     /**
-     * Returns what is known of requests under which upstreams end.
+     * Returns the quarantine of requests that crash servers.
      *
      * @return the quarantine
      */
@@ -225,7 +225,7 @@
     }
 
     /**
-     * Returns the duty to read the operators' record.
+     * Returns the duty to follow the operators' record.
      *
      * @return the duty
      */
@@ -234,7 +234,7 @@
     }
 
     /**
-     * Returns what holds teams to their limits.
+     * Returns the limiter that enforces teams' limits.
      *
      * @return the limiter
      */
@@ -243,9 +243,9 @@
     }
 
     /**
-     * Returns how many calls the upstream beside this node still has.
+     * Returns how many calls the colocated upstream still has to finish.
      *
-     * @return calls in flight and waiting
+     * @return the calls in flight and waiting
      */
     public int unfinishedUpstreamCalls() {
         return engine.server()
@@ -256,9 +256,9 @@
     }
 
     /**
-     * Tells whether this node is one of those that follow the log closely for their data centre.
+     * Returns whether this node is one of those that tail the log for their data centre.
      *
-     * @return whether it is
+     * @return whether this node tails the log
      */
     public boolean tailing() {
         return duties.tailing();
@@ -311,7 +311,7 @@
                         > settings.owner().isolatedAfterNanos();
     }
 
-    private void inForce(Configuration configuration) {
+    private void applyConfiguration(Configuration configuration) {
         engine.applyConfiguration(configuration);
         if (gossip != null) {
             gossip.pushConfig();
@@ -319,7 +319,7 @@
         refreshing.request();
     }
 
-    /** Brings the router, the local upstream and the limiter in line with members and configuration. */
+    /** Updates the router, the local upstream and the limiter from the members and the configuration. */
     private void refreshNow() {
         if (gossip == null) {
             // A timer fired while the constructor still ran on another thread; start refreshes once it is done.
@@ -338,19 +338,19 @@
 
     private void paused() {
         parts.counters().count(Event.PAUSE_DETECTED);
-        rename(gossip.renew());
+        renameUpstream(gossip.renew());
     }
 
-    /** Goes on under a new id: others may have given the old one's keys to another owner. */
-    private void rename(MemberRecord renewed) {
+    /** Gives the upstream its new id: others may have assigned the keys of the old id to another owner. */
+    private void renameUpstream(MemberRecord renewed) {
         upstream().ifPresent(u -> engine.server().attach(u.renamed(renewed.upstreamId())));
         refreshing.request();
     }
 
     /**
-     * Takes the news that gossip brings.
+     * Handles the updates that gossip receives.
      */
-    private final class News implements Gossip.Listener {
+    private final class GossipListener implements Gossip.Listener {
         @Override
         public void membersChanged() {
             refreshing.request();
@@ -358,7 +358,7 @@
 
         @Override
         public void declaredDead(MemberRecord renewed) {
-            rename(renewed);
+            renameUpstream(renewed);
         }
 
         @Override
@@ -384,7 +384,7 @@
 
         @Override
         public void followerAgeReceived(int ageMillis) {
-            followDuty.heard(ageMillis);
+            followDuty.followerAgeReceived(ageMillis);
         }
 
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/PlanExchange.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * Passes routes between nodes.
+ * Exchanges routes with other nodes.
  */
 final class PlanExchange {
     private static final String SOURCE = "peer";
@@ -22,14 +22,14 @@
         return new PlanExchange(plans);
     }
 
-    /** Asks a node for its routes. */
+    /** Requests the routes of a node. */
     void fetch(Links links, Endpoint node) {
         links.acquire(node, link -> link.ifPresent(l -> l.send(new Message.PlanRequest())));
     }
 
     void received(Link link, Message message) {
-        if (message instanceof Message.PlanReply told) {
-            plans.offer(told.document(), SOURCE);
+        if (message instanceof Message.PlanReply reply) {
+            plans.offer(reply.document(), SOURCE);
             return;
         }
         plans.document().ifPresent(d -> link.send(new Message.PlanReply(d.bytes())));
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/ListedNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/RegisteredNode.java
@@ -7,13 +7,13 @@
 import org.verbenadyke.kernel.quarantine.QuarantinedRequest;
 
 /**
- * The node as the members' stream sees it.
+ * The node as registered on the members' stream.
  *
- * @param gossip knows the members
- * @param follow knows who reads the operators' record
- * @param quarantine takes what was held back before
+ * @param gossip the node's gossip
+ * @param follow decides whether the node reads the operators' record
+ * @param quarantine restores requests that were quarantined before
  */
-record ListedNode(Gossip gossip, FollowDuty follow, Quarantine quarantine) implements MemberLog.Host {
+record RegisteredNode(Gossip gossip, FollowDuty follow, Quarantine quarantine) implements MemberLog.Host {
     @Override
     public MemberRecord self() {
         return gossip.self();
@@ -30,17 +30,17 @@
     }
 
     @Override
-    public boolean heardAny() {
+    public boolean receivedAny() {
         return gossip.receivedAny();
     }
 
     @Override
-    public boolean reader() {
-        return follow.reader();
+    public boolean isFollower() {
+        return follow.isFollower();
     }
 
     @Override
-    public void listed() {
-        follow.listed();
+    public void registered() {
+        follow.registered();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamHeartbeat.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamHeartbeat.java
@@ -3,15 +3,16 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * A heartbeat of the upstream beside a node.
+ * A heartbeat of the upstream colocated with a node.
  *
  * @param start which start of the upstream sent it
- * @param service the service it serves
- * @param address where it listens
- * @param slots how many calls it runs at once
- * @param leaving whether it says that it is about to leave
- * @param coldNanos how much longer it is slow after its start, in nanoseconds
- * @param sequence counts the heartbeats of this start; a lower one than was seen is late
+ * @param service the service that the upstream serves
+ * @param address where the upstream listens
+ * @param slots how many calls the upstream runs concurrently
+ * @param leaving whether the upstream is about to leave
+ * @param warmUpNanos the remaining warm-up time after the start, in nanoseconds
+ * @param sequence the number of the heartbeat within this start; a heartbeat with a lower number than one received is
+ *     late
  */
 public record UpstreamHeartbeat(
         UpstreamStart start,
@@ -19,10 +20,10 @@
         Endpoint address,
         int slots,
         boolean leaving,
-        long coldNanos,
+        long warmUpNanos,
         long sequence) {
     /**
-     * Returns the id of the upstream, which several of its starts may share.
+     * Returns the id of the upstream, which several starts may share.
      *
      * @return the id
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -6,62 +6,63 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Follows the upstream beside a node by its heartbeats: which start of it is the current one, whether it leaves, and
- * when it has fallen silent. A start is known by its id and its time; under one id the later time is the newer start. A
- * heartbeat that was held up on the way changes nothing: neither an older one of the same start, nor one of a start
- * that another has replaced or that has said that it is gone.
+ * Monitors the colocated upstream by its heartbeats: which start is the current one, whether the upstream is leaving,
+ * and when it has fallen silent. A start is identified by the upstream's id and the start time; of two starts under one
+ * id the one with the later time is newer. A delayed heartbeat changes nothing: neither one older than the newest of
+ * the same start, nor one of a start that was replaced by another or that has announced its shutdown.
  */
 public final class UpstreamMonitor {
     private final TimerService timers;
     private final long silentNanos;
-    private final Listener host;
+    private final Listener listener;
     private final SerialExecutor serial = SerialExecutor.create();
-    private final FinishedStarts over = FinishedStarts.none();
+    private final FinishedStarts finished = FinishedStarts.none();
     private UpstreamHeartbeat current;
     private boolean present;
-    private long heardNanos;
+    private long lastHeartbeatNanos;
 
-    private UpstreamMonitor(TimerService timers, long silentNanos, Listener host) {
+    private UpstreamMonitor(TimerService timers, long silentNanos, Listener listener) {
         this.timers = timers;
         this.silentNanos = silentNanos;
-        this.host = host;
+        this.listener = listener;
     }
 
     /**
-     * Starts a watch.
+     * Starts a monitor.
      *
-     * @param timers the time
+     * @param timers the clock and timers
      * @param silentNanos after how long without a heartbeat the upstream counts as gone, in nanoseconds
-     * @param host takes the changes
-     * @return the watch
+     * @param listener handles the changes
+     * @return the monitor
      */
-    public static UpstreamMonitor start(TimerService timers, long silentNanos, Listener host) {
-        UpstreamMonitor watch = new UpstreamMonitor(timers, silentNanos, host);
-        timers.every(silentNanos / 2, () -> watch.serial.run(watch::look));
-        return watch;
+    public static UpstreamMonitor start(TimerService timers, long silentNanos, Listener listener) {
+        UpstreamMonitor monitor = new UpstreamMonitor(timers, silentNanos, listener);
+        timers.every(silentNanos / 2, () -> monitor.serial.run(monitor::checkSilence));
+        return monitor;
     }
 
     /**
-     * Takes a heartbeat.
+     * Handles a heartbeat.
      *
      * @param beat the heartbeat
      */
     public void heartbeat(UpstreamHeartbeat beat) {
-        serial.run(() -> take(beat));
+        serial.run(() -> handle(beat));
     }
 
     /**
-     * Takes the word of an upstream that it is gone for good, though it may still end what it has. It speaks of one
-     * start only; a later one under the same id counts.
+     * Handles the shutdown notice of an upstream, which may still finish its work in progress. The notice concerns one
+     * start only; a later start under the same id is accepted.
      *
-     * @param gone the start that is over; without a time it is the newest that is known under the id
+     * @param gone the start that is over; without a start time, the newest known under the id
      */
     public void left(UpstreamStart gone) {
-        serial.run(() -> end(gone));
+        serial.run(() -> finish(gone));
     }
 
     /**
-     * Takes notice that nothing listens where a start of the upstream did. It gets no work until it reports again.
+     * Called when nothing listens any more at the address of a start of the upstream. The upstream gets no work until
+     * its next heartbeat.
      *
      * @param start the start
      */
@@ -69,13 +70,13 @@
         serial.run(() -> {
             if (present && current.start().equals(start)) {
                 present = false;
-                host.absent(current);
+                listener.absent(current);
             }
         });
     }
 
     /**
-     * Returns the newest heartbeat that counted.
+     * Returns the newest heartbeat that was accepted.
      *
      * @return the heartbeat, empty before the first
      */
@@ -83,28 +84,28 @@
         return Optional.ofNullable(current);
     }
 
-    private void take(UpstreamHeartbeat beat) {
+    private void handle(UpstreamHeartbeat beat) {
         if (late(beat)) {
-            host.late(beat);
+            listener.late(beat);
             return;
         }
         boolean known = current != null && current.start().equals(beat.start());
         boolean working = present;
         if (current != null && !known) {
-            over.finish(current.start());
+            finished.finish(current.start());
         }
-        heardNanos = timers.nanos();
+        lastHeartbeatNanos = timers.nanos();
         current = beat;
         present = !beat.leaving();
         if (present && !(known && working)) {
-            host.arrived(beat);
+            listener.arrived(beat);
         } else if (working && !present) {
-            host.leaving(beat);
+            listener.leaving(beat);
         }
     }
 
     private boolean late(UpstreamHeartbeat beat) {
-        if (over.covers(beat.start(), timers.nanos())) {
+        if (finished.covers(beat.start(), timers.nanos())) {
             return true;
         }
         if (current == null) {
@@ -113,72 +114,72 @@
         if (current.start().equals(beat.start())) {
             return beat.sequence() <= current.sequence();
         }
-        // Another id that is older, or that leaves open how old it is, has to wait until the current start is silent.
-        // It isn't kept out for ever, since the clock of its machine may have been set back.
+        // A start under another id that is older, or whose start time is unknown, must wait until the current start is
+        // silent. It is accepted then, since the clock of its machine may have been set back.
         boolean mustYield = beat.id().equals(current.id()) || !silent();
-        return mustYield && (beat.start().bornBefore(current.start()) || hidesItsBirth(beat));
+        return mustYield && (beat.start().startedBefore(current.start()) || omitsStartTime(beat));
     }
 
-    private boolean hidesItsBirth(UpstreamHeartbeat beat) {
+    private boolean omitsStartTime(UpstreamHeartbeat beat) {
         return beat.start().startedMillis().isEmpty()
                 && current.start().startedMillis().isPresent();
     }
 
-    private void end(UpstreamStart gone) {
+    private void finish(UpstreamStart gone) {
         if (current == null || !current.id().equals(gone.id())) {
-            endOther(gone);
+            finishOther(gone);
             return;
         }
-        if (gone.bornBefore(current.start())) {
+        if (gone.startedBefore(current.start())) {
             return;
         }
-        over.finish(current.start());
-        over.finish(gone);
+        finished.finish(current.start());
+        finished.finish(gone);
         if (present) {
             present = false;
-            host.leaving(current);
+            listener.leaving(current);
         }
     }
 
-    private void endOther(UpstreamStart gone) {
+    private void finishOther(UpstreamStart gone) {
         if (gone.startedMillis().isPresent()) {
-            over.finish(gone);
+            finished.finish(gone);
         } else {
-            over.finishUnheard(gone.id(), timers.nanos() + silentNanos);
+            finished.finishWithoutHeartbeat(gone.id(), timers.nanos() + silentNanos);
         }
     }
 
     private boolean silent() {
-        return timers.nanos() - heardNanos > silentNanos;
+        return timers.nanos() - lastHeartbeatNanos > silentNanos;
     }
 
-    private void look() {
+    private void checkSilence() {
         if (present && silent()) {
             present = false;
-            host.silent(current, timers.nanos() - heardNanos);
+            listener.silent(current, timers.nanos() - lastHeartbeatNanos);
         }
     }
 
     /**
-     * Takes the changes.
+     * Handles changes of the upstream.
      */
     public interface Listener {
         /**
-         * Takes an upstream that may get work.
+         * Called when an upstream may get work.
          *
-         * @param beat its heartbeat
+         * @param beat the heartbeat of the upstream
          */
         void arrived(UpstreamHeartbeat beat);
 
         /**
-         * Takes notice that the upstream must get no more work; it ends what it has.
+         * Called when the upstream must get no more work; it finishes its work in progress.
          *
          * @param beat its newest heartbeat
          */
         void leaving(UpstreamHeartbeat beat);
 
         /**
-         * Takes notice that nothing was heard of the upstream for too long.
+         * Called when no heartbeat of the upstream was received for too long.
          *
          * @param beat its newest heartbeat
          * @param silentNanos for how long, in nanoseconds
@@ -186,14 +187,14 @@
         void silent(UpstreamHeartbeat beat, long silentNanos);
 
         /**
-         * Takes notice that nothing listens any more where the upstream did.
+         * Called when nothing listens any more at the address of the upstream.
          *
          * @param beat its newest heartbeat
          */
         void absent(UpstreamHeartbeat beat);
 
         /**
-         * Takes notice of a heartbeat that came too late to count.
+         * Called when a heartbeat came too late to be accepted.
          *
          * @param beat the heartbeat
          */
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamStart.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamStart.java
@@ -3,20 +3,20 @@
 import java.util.OptionalLong;
 
 /**
- * One start of the upstream beside a node. An upstream may start again under the same id; then only the time of the
- * start tells the two apart.
+ * One start of the upstream colocated with a node. An upstream may start again under the same id; the two starts then
+ * differ only by their start times.
  *
  * @param id the upstream's id
- * @param startedMillis when it started, in milliseconds since the epoch; empty if it doesn't say
+ * @param startedMillis when the upstream started, in milliseconds since the epoch; empty if not reported
  */
 public record UpstreamStart(String id, OptionalLong startedMillis) {
     /**
-     * Tells whether both starts say when they were, and this one was before the other.
+     * Returns whether the times of both starts are known, and this start was the earlier one.
      *
      * @param other the other start
      * @return whether this one is known to be older
      */
-    boolean bornBefore(UpstreamStart other) {
+    boolean startedBefore(UpstreamStart other) {
         return startedMillis.isPresent()
                 && other.startedMillis.isPresent()
                 && startedMillis.getAsLong() < other.startedMillis.getAsLong();
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -14,34 +14,35 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * Decides whether this node reads the operators' record itself or learns of changes from its peers. Safe for many
- * threads.
+ * Decides whether this node follows the operators' record by reading the store, or learns of changes from its peers.
+ * Thread-safe.
  *
- * <p>Load pattern: every call to the store is paid for, and with a reader on each node calls grow with nodes times
- * changes (ten a node at a start, one a node and change, one a node and second while the store turns it away). So a
- * few nodes of each data centre read, and how long ago the last of them was known to read travels with the gossip. When
- * that sign grows old, a few other nodes at a time step in, others at each turn, until one of them succeeds.
+ * <p>Load pattern: every call to the store is paid for, and with a follower on each node the calls grow with nodes
+ * times changes (ten per node at a start, one per node and change, one per node and second while the store rejects it).
+ * So only a few nodes of each data centre follow the record, and gossip spreads the age of the newest follower
+ * heartbeat: the last time that one of them was known to read. When that heartbeat grows old, a few other nodes at a
+ * time stand in, different ones at each turn, until one of them succeeds.
  */
 public final class FollowDuty {
-    /** The age told when no reader was ever known: older than any patience. */
+    /** The age reported when no follower was ever known: exceeds every timeout. */
     public static final int NEVER_MILLIS = 3_600_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NO_TURN = -1;
-    private static final String READERS = "readers";
-    private static final String TURN = "turn ";
+    private static final String FOLLOWER_DUTY = "readers";
+    private static final String TURN_DUTY_PREFIX = "turn ";
 
     private final TimerService timers;
     private final FollowSettings settings;
     private final Supplier<MemberRecord> self;
     private final MemberTable table;
-    private final BooleanSupplier equipped;
+    private final BooleanSupplier routesKnown;
     private final long startNanos;
-    private final AtomicLong followedNanos;
+    private final AtomicLong newestFollowerNanos;
     private volatile boolean setFollowing;
-    private volatile boolean listed;
-    private volatile Ranked ranked;
-    private long turnTaken = NO_TURN;
+    private volatile boolean registered;
+    private volatile Ranking cachedRanking;
+    private long lastTurn = NO_TURN;
 
     private FollowDuty(
             TimerService timers,
@@ -53,19 +54,19 @@
         this.settings = settings;
         this.self = self;
         this.table = table;
-        this.equipped = equipped;
+        this.routesKnown = equipped;
         this.startNanos = timers.nanos();
-        this.followedNanos = new AtomicLong(startNanos - NEVER_MILLIS * NANOS_PER_MILLI);
+        this.newestFollowerNanos = new AtomicLong(startNanos - NEVER_MILLIS * NANOS_PER_MILLI);
     }
 
     /**
      * Creates the duty of a node that starts.
      *
-     * @param timers the time
-     * @param settings how many read, and when others step in
+     * @param timers the clock
+     * @param settings how many nodes follow, and when others stand in
      * @param self this node's record
      * @param table the members
-     * @param equipped tells whether this node knows the routes
+     * @param equipped returns whether this node knows the routes
      * @return the duty
      */
     public static FollowDuty of(
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Tells whether this node is one of those that read while all is well.
+     * Returns whether this node is one of the designated followers, which read while all is well.
      *
-     * @return whether it is, by the members that it knows now
+     * @return whether this node is designated, by the members that it knows now
      */
     public boolean designated() {
         MemberRecord me = self.get();
@@ -88,115 +89,115 @@
             return false;
         }
         long digest = table.digest();
-        Ranked known = ranked;
+        Ranking known = cachedRanking;
         if (known == null || known.digest() != digest) {
-            // Asked ten times a second, and ranking walks all members: done only when they changed.
-            known = new Ranked(digest, rankedHigh(me));
-            ranked = known;
+            // Called ten times a second, and ranking visits all members: done only when the members changed.
+            known = new Ranking(digest, ranksAmongFollowers(me));
+            cachedRanking = known;
         }
-        return known.high();
+        return known.follower();
     }
 
     /**
-     * Tells whether this node knows enough others to be sure that it is one of those that read.
+     * Returns whether this node is a designated follower and knows enough other members to be sure of that.
      *
-     * @return whether it is one, and has been up for a while
+     * @return whether this node is designated and has been up for a while
      */
-    public boolean reader() {
+    public boolean isFollower() {
         return settled() && designated();
     }
 
     /**
-     * Tells whether to begin reading now; asked some times a second while this node doesn't. A turn to step in is told
-     * once.
+     * Returns whether to begin reading now; called several times a second while this node doesn't read. A turn to stand
+     * in is returned once.
      *
-     * @return whether this node is to ask the store
+     * @return whether this node should send requests to the store
      */
     public synchronized boolean shouldStart() {
         long now = timers.nanos();
-        if (settled() ? designated() : listed) {
+        if (settled() ? designated() : registered) {
             return true;
         }
-        long patience = equipped.getAsBoolean() ? settings.patienceNanos() : settings.firstPatienceNanos();
-        long over = Math.min(now - followedNanos.get(), now - startNanos) - patience;
+        long timeout = routesKnown.getAsBoolean() ? settings.timeoutNanos() : settings.firstTimeoutNanos();
+        long over = Math.min(now - newestFollowerNanos.get(), now - startNanos) - timeout;
         if (setFollowing || over < 0) {
-            turnTaken = NO_TURN;
+            lastTurn = NO_TURN;
             return false;
         }
         long turn = over / settings.turnNanos();
-        if (turn == turnTaken) {
+        if (turn == lastTurn) {
             return false;
         }
-        turnTaken = turn;
-        int rank =
-                MemberRank.of(self.get().nodeId(), TURN + turn, table.present(), r -> r.state() == MemberState.ALIVE);
-        return rank < settings.vanguard();
+        lastTurn = turn;
+        int rank = MemberRank.of(
+                self.get().nodeId(), TURN_DUTY_PREFIX + turn, table.present(), r -> r.state() == MemberState.ALIVE);
+        return rank < settings.standInsPerTurn();
     }
 
-    /** Notes that this node stands among those that the log lists: it reads at once, for those that find it there. */
-    public void listed() {
-        listed = true;
+    /** Called when this node is registered on the log: it then reads at once, for the nodes that find it there. */
+    public void registered() {
+        registered = true;
     }
 
     /**
-     * Notes whether this node has the operators' newest and waits for the next.
+     * Sets whether this node has the operators' newest change and waits for the next.
      *
-     * @param now whether it has
+     * @param now whether this node follows now
      */
     public void setFollowing(boolean now) {
         if (now) {
-            note(timers.nanos());
+            recordFollower(timers.nanos());
         }
         setFollowing = now;
     }
 
     /**
-     * Takes another node's word on how long ago some node was known to read.
+     * Handles the age of the newest follower heartbeat that another node knows of.
      *
-     * @param ageMillis the time since, in milliseconds
+     * @param ageMillis the age, in milliseconds
      */
-    public void heard(int ageMillis) {
-        note(timers.nanos() - Math.max(0, ageMillis) * NANOS_PER_MILLI);
+    public void followerAgeReceived(int ageMillis) {
+        recordFollower(timers.nanos() - Math.max(0, ageMillis) * NANOS_PER_MILLI);
     }
 
     /**
-     * Returns how long ago some node was known to read.
+     * Returns the age of the newest known follower heartbeat.
      *
-     * @return milliseconds, at most {@link #NEVER_MILLIS}
+     * @return the age in milliseconds, at most {@link #NEVER_MILLIS}
      */
     public int ageMillis() {
         if (setFollowing) {
             return 0;
         }
-        long millis = (timers.nanos() - followedNanos.get()) / NANOS_PER_MILLI;
+        long millis = (timers.nanos() - newestFollowerNanos.get()) / NANOS_PER_MILLI;
         return (int) Math.min(NEVER_MILLIS, Math.max(0, millis));
     }
 
-    private boolean rankedHigh(MemberRecord me) {
+    private boolean ranksAmongFollowers(MemberRecord me) {
         List<MemberRecord> present = table.present();
         Set<Location> places = new HashSet<>(Set.of(me.place()));
         present.forEach(r -> places.add(r.place()));
         int rank = MemberRank.of(
                 me.nodeId(),
-                READERS,
+                FOLLOWER_DUTY,
                 present,
                 r -> r.state() == MemberState.ALIVE && r.place().equals(me.place()));
-        return rank < Math.max(1, settings.readers() / places.size());
+        return rank < Math.max(1, settings.followers() / places.size());
     }
 
     private boolean settled() {
         return timers.nanos() - startNanos >= settings.settleNanos();
     }
 
-    private void note(long at) {
-        followedNanos.accumulateAndGet(at, (a, b) -> b - a > 0 ? b : a);
+    private void recordFollower(long at) {
+        newestFollowerNanos.accumulateAndGet(at, (a, b) -> b - a > 0 ? b : a);
     }
 
     /**
-     * Whether this node ranks among the readers of its data centre.
+     * Whether this node ranks among the followers of its data centre.
      *
-     * @param digest the hash of the member table that it was worked out from
-     * @param high whether it does
+     * @param digest the hash of the member table for which the rank was computed
+     * @param follower whether the node ranks among the followers
      */
-    private record Ranked(long digest, boolean high) {}
+    private record Ranking(long digest, boolean follower) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
@@ -1,49 +1,60 @@
 package org.verbenadyke.kernel.follow;
 
 /**
- * How many nodes read the operators' record, and when others step in.
+ * How many nodes follow the operators' record, and when others stand in.
  *
- * @param readers how many nodes read while all is well, shared evenly by the data centres, each having one at least
- * @param settleNanos how long a node that has just started leaves the reading to others, in nanoseconds
- * @param patienceNanos how old the last sign of a reader may be before others step in, in nanoseconds
- * @param firstPatienceNanos the same for a node that knows no routes yet, in nanoseconds
- * @param turnNanos how long those that stepped in have before the next ones do, in nanoseconds
- * @param vanguard how many nodes step in at a turn
+ * @param followers how many nodes follow while all is well, spread evenly over the data centres, with at least one in
+ *     each
+ * @param settleNanos how long a node that has just started leaves the following to others, in nanoseconds
+ * @param timeoutNanos how old the newest follower heartbeat may be before others stand in, in nanoseconds
+ * @param firstTimeoutNanos the same for a node that knows no routes yet, in nanoseconds
+ * @param turnNanos how long stand-ins have before the next ones try, in nanoseconds
+ * @param standInsPerTurn how many nodes stand in at a turn
  */
 public record FollowSettings(
-        int readers, long settleNanos, long patienceNanos, long firstPatienceNanos, long turnNanos, int vanguard) {
+        int followers,
+        long settleNanos,
+        long timeoutNanos,
+        long firstTimeoutNanos,
+        long turnNanos,
+        int standInsPerTurn) {
     private static final long MILLI = 1_000_000L;
 
-    /** With a third of the nodes cut off, six of them all are in 1 of 700 cases, and others step in then. */
-    private static final int DEFAULT_READERS = 6;
+    /** With a third of the nodes partitioned, all six are partitioned in 1 of 700 cases; others stand in then. */
+    private static final int DEFAULT_FOLLOWERS = 6;
 
-    /** Four rounds of gossip, by which a node has heard of most others. */
+    /** Four rounds of gossip, after which a node knows most others. */
     private static final long DEFAULT_SETTLE_MILLIS = 1_000;
 
-    /** Six rounds of gossip. With it a fleet of 13 to 96 nodes has a reader again within 2.5 s (virtual clock). */
-    private static final long DEFAULT_PATIENCE_MILLIS = 1_500;
+    /** Six rounds of gossip. A fleet of 13 to 96 nodes then has a follower again within 2.5 s (virtual clock). */
+    private static final long DEFAULT_TIMEOUT_MILLIS = 1_500;
 
-    /** After a loss of power everywhere twelve nodes had the routes 12 to 141 ms after their start; callers wait. */
-    private static final long DEFAULT_FIRST_PATIENCE_MILLIS = 500;
+    /**
+     * Short, as callers wait: after a power loss everywhere, twelve nodes had the routes 12 to 141 ms after their
+     * start.
+     */
+    private static final long DEFAULT_FIRST_TIMEOUT_MILLIS = 500;
 
-    /** Two rounds of gossip, in which the sign of one that succeeded spreads; the store answers in milliseconds. */
+    /**
+     * Two rounds of gossip, in which the heartbeat of a successful stand-in spreads; the store answers in milliseconds.
+     */
     private static final long DEFAULT_TURN_MILLIS = 500;
 
-    /** With a third of the nodes turned away, three of them all fail in 4 of 100 turns. */
-    private static final int DEFAULT_VANGUARD = 3;
+    /** With a third of the nodes rejected by the store, all three fail in 4 of 100 turns. */
+    private static final int DEFAULT_STAND_INS_PER_TURN = 3;
 
     /**
-     * Returns the settings in use unless others are given.
+     * Returns the default settings.
      *
      * @return the settings
      */
     public static FollowSettings standard() {
         return new FollowSettings(
-                DEFAULT_READERS,
+                DEFAULT_FOLLOWERS,
                 DEFAULT_SETTLE_MILLIS * MILLI,
-                DEFAULT_PATIENCE_MILLIS * MILLI,
-                DEFAULT_FIRST_PATIENCE_MILLIS * MILLI,
+                DEFAULT_TIMEOUT_MILLIS * MILLI,
+                DEFAULT_FIRST_TIMEOUT_MILLIS * MILLI,
                 DEFAULT_TURN_MILLIS * MILLI,
-                DEFAULT_VANGUARD);
+                DEFAULT_STAND_INS_PER_TURN);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/MemberRank.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/MemberRank.java
@@ -7,18 +7,18 @@
 import org.verbenadyke.kernel.routing.Rendezvous;
 
 /**
- * Ranks members for a duty by rendezvous hashing, so that all nodes with the same members agree without asking.
+ * Ranks members for a duty by rendezvous hashing, so that all nodes with the same members agree without communicating.
  */
 public final class MemberRank {
     private MemberRank() {}
 
     /**
-     * Counts the members that come before a node.
+     * Counts the members that rank before a node.
      *
      * @param nodeId the node
-     * @param duty what they are ranked for
+     * @param duty the duty for which the members are ranked
      * @param members the members
-     * @param eligible tells which of them count
+     * @param eligible tells which members count
      * @return the node's rank, from 0
      */
     public static int of(
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
@@ -64,7 +64,7 @@
 
     /** Starts to spread the crashes that the node's quarantine learns of. */
     void start() {
-        quarantine.onNews(crash -> serial.run(() -> queue(crash)));
+        quarantine.onCrash(crash -> serial.run(() -> queue(crash)));
     }
 
     /** Passes the crash reports of another node to the quarantine. */
@@ -73,7 +73,8 @@
         for (CrashReport r : message.reports()) {
             long at = now - r.ageMillis() * NANOS_PER_MILLI;
             r.requests()
-                    .forEach(d -> quarantine.hear(new UpstreamCrash(d, r.upstream(), r.cleared(), at, message.from())));
+                    .forEach(
+                            d -> quarantine.learn(new UpstreamCrash(d, r.upstream(), r.cleared(), at, message.from())));
         }
     }
 
@@ -124,7 +125,7 @@
         long now = timers.nanos();
         Map<Group, CrashReport> byUpstream = new LinkedHashMap<>();
         for (UpstreamCrash c : crashes) {
-            int age = (int) ((now - c.atNanos()) / NANOS_PER_MILLI);
+            int age = (int) ((now - c.crashedNanos()) / NANOS_PER_MILLI);
             byUpstream
                     .computeIfAbsent(
                             new Group(c.upstream(), c.cleared()),
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -19,39 +19,44 @@
 import org.verbenadyke.kernel.trace.DecisionLog;
 
 /**
- * Holds back requests under which upstreams end, whatever entry, try or caller's repeat they come by. Safe for many
- * threads; looking a request up takes no lock.
+ * Quarantines requests that crash servers, whichever node a request enters by, and whether it is a first attempt, a
+ * retry or a caller's repeat. Thread-safe; looking up a request takes no lock.
  *
- * <p>Load pattern: one request ends each upstream that begins to run it, a tenth of a second later, and with it the
- * dozens of harmless ones that the upstream had. All of them are tried again at once, and the guilty one comes again at
- * any node, every second or so. Evidence is the end of an upstream that was not leaving, against every request it had.
- * An answer to a request, of any status, clears it of all ends known where the answer was seen: popular and harmless
- * requests are answered somewhere all the time. The second end of a request makes it run beside no other suspect, so
- * that the third is the fault of one request only. After that it is held back, and tried now and then at one upstream.
+ * <p>Load pattern: one request crashes each upstream that begins to run it, a tenth of a second later. The dozens of
+ * other requests in flight at that upstream fail with it. All of them are retried at once, and the request that crashes
+ * servers comes again at any node, every second or so. A crash of an upstream that was not leaving is evidence against
+ * every request that was in flight there. An answer to a request, of any status, clears that request of all crashes
+ * known to the node that saw the answer: popular requests that crash nothing are answered somewhere all the time. After
+ * its second crash a request runs at no upstream together with another suspect, so that a third crash can be attributed
+ * to one request. After the third crash the request is quarantined, and from time to time tried at one upstream.
  */
 public final class Quarantine {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Stands for the node that told of an end which was read from the log. */
-    private static final String FROM_LOG = "the log";
+    /** The reporting node given for a crash that was read from the log. */
+    private static final String REPORTED_BY_LOG = "the log";
 
     private final TimerService timers;
     private final QuarantineSettings settings;
     private final Counters counters;
     private final DecisionLog decisions;
-    private final Trials trials;
+    private final TrialSchedule trials;
     private final Map<RequestDigest, Suspect> suspects = new ConcurrentHashMap<>();
 
-    /** How many suspects have each path, so that the bodies of most requests needn't be read. */
-    private final Map<Integer, Integer> targets = new ConcurrentHashMap<>();
+    /** The number of suspects per path hash, so that the bodies of most requests needn't be read. */
+    private final Map<Integer, Integer> suspectsByPathHash = new ConcurrentHashMap<>();
 
-    private volatile Consumer<UpstreamCrash> news = end -> {};
-    private volatile Consumer<RequestDigest> heldNews = request -> {};
-    private volatile boolean changed = true;
+    private volatile Consumer<UpstreamCrash> crashListener = crash -> {};
+    private volatile Consumer<RequestDigest> quarantineListener = request -> {};
+    private volatile boolean fingerprintStale = true;
     private volatile long fingerprint;
 
     private Quarantine(
-            TimerService timers, QuarantineSettings settings, Counters counters, DecisionLog decisions, Trials trials) {
+            TimerService timers,
+            QuarantineSettings settings,
+            Counters counters,
+            DecisionLog decisions,
+            TrialSchedule trials) {
         this.timers = timers;
         this.settings = settings;
         this.counters = counters;
@@ -62,93 +67,103 @@
     /**
      * Creates a quarantine without suspects.
      *
-     * @param timers the time
-     * @param settings when a request is held back
-     * @param counters where events are counted
-     * @param decisions takes what is to be explained later
-     * @param trials tells which upstream may try a request that is held back
+     * @param timers the clock
+     * @param settings when a request is quarantined
+     * @param counters counts events
+     * @param decisions records decisions to explain later
+     * @param trials tells which upstream may try a quarantined request
      * @return the quarantine
      */
     public static Quarantine create(
-            TimerService timers, QuarantineSettings settings, Counters counters, DecisionLog decisions, Trials trials) {
+            TimerService timers,
+            QuarantineSettings settings,
+            Counters counters,
+            DecisionLog decisions,
+            TrialSchedule trials) {
         return new Quarantine(timers, settings, counters, decisions, trials);
     }
 
     /**
-     * Creates the quarantine of a node that tells nobody and hears of nobody.
+     * Creates the quarantine of a node that exchanges reports with no other node.
      *
-     * @param timers the time
+     * @param timers the clock
      * @return the quarantine
      */
     public static Quarantine alone(TimerService timers) {
-        return create(timers, QuarantineSettings.standard(), Counters.create(), DecisionLog.none(), Trials.alone());
+        return create(
+                timers,
+                QuarantineSettings.standard(),
+                Counters.create(),
+                DecisionLog.none(),
+                TrialSchedule.standalone());
     }
 
     /**
-     * Subscribes to what is new here, whether it was seen here or told by others.
+     * Subscribes to crashes that are new to this node, whether observed here or reported by others.
      *
-     * @param listener takes each new end, and each that has been cleared
+     * @param listener called with each new crash, and with each that was cleared
      */
-    public void onNews(Consumer<UpstreamCrash> listener) {
-        news = listener;
+    public void onCrash(Consumer<UpstreamCrash> listener) {
+        crashListener = listener;
     }
 
     /**
-     * Subscribes to what must outlive the nodes: that a request is held back of which an end was seen here, each
-     * further end, and the answer that lets it go.
+     * Subscribes to changes that must survive a restart of all nodes: that a request is quarantined of which a crash
+     * was observed here, each further crash, and the answer that lifts the quarantine.
      *
-     * @param listener takes the request
+     * @param listener called with the request
      */
-    public void onHeld(Consumer<RequestDigest> listener) {
-        heldNews = listener;
+    public void onQuarantineChange(Consumer<RequestDigest> listener) {
+        quarantineListener = listener;
     }
 
     /**
-     * Words what is known of a request for the log.
+     * Creates a log record of the crashes known of a request.
      *
      * @param request the request
-     * @return the record, empty if nothing is known of it any more
+     * @return the record, empty if no crash of the request is known any more
      */
-    public Optional<QuarantinedRequest> record(RequestDigest request) {
+    public Optional<QuarantinedRequest> logRecord(RequestDigest request) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
         return Optional.ofNullable(suspects.get(request))
                 .map(s -> new QuarantinedRequest(
                         request,
-                        s.ends().stream()
+                        s.crashes().stream()
                                 .map(e -> new QuarantinedRequest.Crash(
-                                        e.upstream(), e.cleared(), wall - (now - e.atNanos()) / NANOS_PER_MILLI))
+                                        e.upstream(), e.cleared(), wall - (now - e.crashedNanos()) / NANOS_PER_MILLI))
                                 .toList()));
     }
 
     /**
-     * Lists the requests that are held back, whoever saw them end upstreams.
+     * Lists the quarantined requests, whichever nodes observed the crashes.
      *
      * @return the requests
      */
-    public List<RequestDigest> heldBack() {
+    public List<RequestDigest> quarantined() {
         return suspects.values().stream()
-                .filter(this::held)
+                .filter(this::isQuarantined)
                 .map(Suspect::request)
                 .toList();
     }
 
     /**
-     * Takes a record from the log, which may be of nodes that are all gone.
+     * Restores a record from the log, which may come from nodes that are all gone.
      *
-     * @param held the record
+     * @param quarantinedRequest the record
      */
-    public void restore(QuarantinedRequest held) {
+    public void restore(QuarantinedRequest quarantinedRequest) {
         long now = timers.nanos();
         long wall = timers.wallMillis();
-        for (QuarantinedRequest.Crash e : held.crashes()) {
-            long age = Math.max(0, wall - e.atMillis()) * NANOS_PER_MILLI;
-            hear(new UpstreamCrash(held.request(), e.upstream(), e.cleared(), now - age, FROM_LOG));
+        for (QuarantinedRequest.Crash c : quarantinedRequest.crashes()) {
+            long age = Math.max(0, wall - c.atMillis()) * NANOS_PER_MILLI;
+            learn(new UpstreamCrash(
+                    quarantinedRequest.request(), c.upstream(), c.cleared(), now - age, REPORTED_BY_LOG));
         }
     }
 
     /**
-     * Takes notice that an upstream ended while it had a request.
+     * Records that an upstream crashed while a request was in flight there.
      *
      * @param content the request
      * @param upstream the id of the upstream
@@ -158,17 +173,17 @@
     }
 
     /**
-     * The same for a request that is already digested.
+     * Records that an upstream crashed while a request was in flight there, by the digest of the request.
      *
      * @param request the request
      * @param upstream the id of the upstream
      */
     public void recordCrash(RequestDigest request, String upstream) {
-        hear(new UpstreamCrash(request, upstream, false, timers.nanos(), ""));
+        learn(new UpstreamCrash(request, upstream, false, timers.nanos(), ""));
     }
 
     /**
-     * Takes notice that an upstream answered a request.
+     * Records that an upstream answered a request.
      *
      * @param content the request
      */
@@ -177,100 +192,104 @@
         if (suspect.isEmpty()) {
             return;
         }
-        boolean wasHeld = held(suspect.get());
-        suspect.get().ends().stream().filter(e -> !e.cleared()).forEach(e -> hear(e.clear()));
-        if (wasHeld) {
+        boolean wasQuarantined = isQuarantined(suspect.get());
+        suspect.get().crashes().stream().filter(e -> !e.cleared()).forEach(e -> learn(e.asCleared()));
+        if (wasQuarantined) {
             counters.count(Event.QUARANTINE_LIFTED);
-            heldNews.accept(suspect.get().request());
+            quarantineListener.accept(suspect.get().request());
         }
     }
 
     /**
-     * Takes an end that was seen here or told by another node.
+     * Adds a crash that was observed here or reported by another node.
      *
-     * @param end the end
+     * @param crash the crash
      */
-    public void hear(UpstreamCrash end) {
-        if (timers.nanos() - end.atNanos() > settings.keptNanos()) {
+    public void learn(UpstreamCrash crash) {
+        if (timers.nanos() - crash.crashedNanos() > settings.retentionNanos()) {
             return;
         }
-        boolean[] fresh = {false};
-        Suspect after = suspects.compute(end.request(), (request, known) -> {
+        boolean[] added = {false};
+        Suspect after = suspects.compute(crash.request(), (request, known) -> {
             Suspect before = known == null ? Suspect.of(request) : known;
-            Suspect with = before.with(end);
-            fresh[0] = with != before;
+            Suspect with = before.with(crash);
+            added[0] = with != before;
             if (known == null) {
-                targets.merge(request.pathHash(), 1, Integer::sum);
+                suspectsByPathHash.merge(request.pathHash(), 1, Integer::sum);
             }
             return with;
         });
-        if (!fresh[0]) {
+        if (!added[0]) {
             return;
         }
-        changed = true;
-        if (!end.cleared() && after.standing() == settings.heldFrom()) {
+        fingerprintStale = true;
+        if (!crash.cleared() && after.unclearedCrashes() == settings.quarantineThreshold()) {
             counters.count(Event.QUARANTINE_BEGUN);
-            decisions.note(new Decision.Quarantined(end.request(), after.evidence(timers.nanos())));
+            decisions.note(new Decision.Quarantined(crash.request(), after.evidence(timers.nanos())));
         }
-        news.accept(end);
-        if (held(after) && !end.cleared() && after.seenHere()) {
-            heldNews.accept(end.request());
+        crashListener.accept(crash);
+        if (isQuarantined(after) && !crash.cleared() && after.observedLocally()) {
+            quarantineListener.accept(crash.request());
         }
     }
 
     /**
-     * Tells how a request stands where it enters. While no upstream has ended this costs one look at an empty table.
+     * Returns the status of a request at the node where it enters. While no crash is known this costs one lookup in an
+     * empty table.
      *
      * @param content the request
-     * @return held back, or free
+     * @return the status
      */
     public QuarantineStatus statusAtEntry(Message.Content content) {
-        return standing(content, false);
+        return status(content, false);
     }
 
     /**
-     * Tells how a request stands beside the upstream that is to run it.
+     * Returns the status of a request at the node colocated with the upstream that is to run the request.
      *
      * @param content the request
-     * @return its standing there
+     * @return the status
      */
     public QuarantineStatus statusAtUpstream(Message.Content content) {
-        return standing(content, true);
+        return status(content, true);
     }
 
     /**
-     * Finds the upstream to which a request must go now, if it was held back and is to be tried again.
+     * Finds the upstream to which a request must be sent now, if the request is quarantined and due for a trial.
      *
      * @param content the request
      * @param service the service that is to run it
-     * @return the upstream's id; empty if the request may go anywhere
+     * @return the upstream's id; empty if the request may be sent to any
      */
     public Optional<String> trialUpstream(Message.Content content, String service) {
-        return find(content).filter(this::held).flatMap(s -> trials.upstream(s.request(), service, turn(s)));
+        return find(content)
+                .filter(this::isQuarantined)
+                .flatMap(s -> trials.upstream(s.request(), service, trialTurn(s)));
     }
 
     /**
-     * Words the refusal of a request that is held back, and explains it. The caller learns when the next trial is due,
-     * however long that is: its request ends whatever runs it before, or is held by mistake until then.
+     * Creates the refusal of a quarantined request, and records the decision. The Retry-After delay reaches until the
+     * next trial, however long that is: until then the request would crash any server that runs it, or remains
+     * quarantined by mistake.
      *
-     * @param chain the request as nodes name it
-     * @param held its standing
-     * @return the refusal; this try has not run
+     * @param chain the id of the request within its call chain
+     * @param quarantined the status of the request
+     * @return the refusal; this attempt has not run
      */
-    public Refusal refusal(RequestId chain, QuarantineStatus.Quarantined held) {
-        long millis = held.nanos() / NANOS_PER_MILLI + 1;
-        decisions.note(new Decision.QuarantineRefused(chain, held.request(), millis, held.evidence()));
+    public Refusal refusal(RequestId chain, QuarantineStatus.Quarantined quarantined) {
+        long millis = quarantined.retryAfterNanos() / NANOS_PER_MILLI + 1;
+        decisions.note(new Decision.QuarantineRefused(chain, quarantined.request(), millis, quarantined.evidence()));
         return Refusal.notRun(RefusalReason.QUARANTINED, millis);
     }
 
     /**
-     * Returns a hash of what is known, to compare it with other nodes.
+     * Returns a hash of the known crashes, to compare them with other nodes.
      *
-     * @return the same on all nodes that know the same
+     * @return the hash, equal on all nodes that know the same crashes
      */
     public long fingerprint() {
-        if (changed) {
-            changed = false;
+        if (fingerprintStale) {
+            fingerprintStale = false;
             fingerprint =
                     suspects.values().stream().mapToLong(Suspect::fingerprint).sum();
         }
@@ -278,94 +297,97 @@
     }
 
     /**
-     * Lists what is known, the gravest and newest first.
+     * Lists the known crashes, those of the requests with the most uncleared crashes first, then the newest.
      *
-     * @param most how many ends at most
-     * @return the ends
+     * @param max the maximum number of crashes
+     * @return the crashes
      */
-    public List<UpstreamCrash> crashes(int most) {
+    public List<UpstreamCrash> crashes(int max) {
         return suspects.values().stream()
-                .sorted(Comparator.comparingInt(Suspect::standing)
+                .sorted(Comparator.comparingInt(Suspect::unclearedCrashes)
                         .thenComparingLong(Suspect::newestNanos)
                         .reversed())
-                .flatMap(s -> s.ends().stream())
-                .limit(most)
+                .flatMap(s -> s.crashes().stream())
+                .limit(max)
                 .toList();
     }
 
-    /** Forgets what is past its time, and the oldest of what is too much; called every few hundred milliseconds. */
+    /** Removes expired suspects, and the oldest beyond the maximum number; called every few hundred milliseconds. */
     public void sweep() {
         if (suspects.isEmpty()) {
             return;
         }
         long now = timers.nanos();
-        List<RequestDigest> old = new ArrayList<>();
-        int ends = 0;
+        List<RequestDigest> expired = new ArrayList<>();
+        int crashes = 0;
         for (Map.Entry<RequestDigest, Suspect> e : suspects.entrySet()) {
-            ends += e.getValue().ends().size();
-            if (now - keptUntil(e.getValue()) > 0) {
-                old.add(e.getKey());
+            crashes += e.getValue().crashes().size();
+            if (now - retainedUntilNanos(e.getValue()) > 0) {
+                expired.add(e.getKey());
             }
         }
-        old.forEach(this::forget);
-        if (ends > settings.endsMost()) {
+        expired.forEach(this::remove);
+        if (crashes > settings.maxCrashes()) {
             suspects.entrySet().stream()
-                    .filter(e -> !held(e.getValue()))
+                    .filter(e -> !isQuarantined(e.getValue()))
                     .sorted(Comparator.comparingLong(e -> e.getValue().newestNanos()))
-                    .limit(ends - settings.endsMost())
+                    .limit(crashes - settings.maxCrashes())
                     .map(Map.Entry::getKey)
-                    .forEach(this::forget);
+                    .forEach(this::remove);
         }
     }
 
-    /** Looks a request up. Its body is read only if some suspect has the same path. */
+    /** Looks up a request. Its body is read only if some suspect has the same path hash. */
     private Optional<Suspect> find(Message.Content content) {
-        if (!targets.containsKey(RequestDigest.targetOf(content))) {
+        if (!suspectsByPathHash.containsKey(RequestDigest.pathHashOf(content))) {
             return Optional.empty();
         }
         return Optional.ofNullable(suspects.get(RequestDigest.of(content)));
     }
 
-    private QuarantineStatus standing(Message.Content content, boolean besideUpstream) {
+    private QuarantineStatus status(Message.Content content, boolean atUpstream) {
         Optional<Suspect> suspect = find(content);
-        if (suspect.isEmpty() || suspect.get().standing() < settings.aloneFrom()) {
+        if (suspect.isEmpty() || suspect.get().unclearedCrashes() < settings.soleSuspectThreshold()) {
             return QuarantineStatus.UNRESTRICTED;
         }
-        return held(suspect.get()) ? heldStanding(suspect.get(), besideUpstream) : QuarantineStatus.SOLE_SUSPECT;
+        return isQuarantined(suspect.get())
+                ? statusOfQuarantined(suspect.get(), atUpstream)
+                : QuarantineStatus.SOLE_SUSPECT;
     }
 
-    private QuarantineStatus heldStanding(Suspect suspect, boolean besideUpstream) {
+    private QuarantineStatus statusOfQuarantined(Suspect suspect, boolean atUpstream) {
         long now = timers.nanos();
-        long left = heldUntil(suspect) - now;
-        boolean may = left <= 0 && (!besideUpstream || trials.here(suspect.request(), turn(suspect)));
-        if (may) {
+        long left = quarantinedUntilNanos(suspect) - now;
+        boolean allowed = left <= 0 && (!atUpstream || trials.isLocal(suspect.request(), trialTurn(suspect)));
+        if (allowed) {
             return QuarantineStatus.SOLE_SUSPECT;
         }
         return new QuarantineStatus.Quarantined(
-                suspect.request(), Math.max(left, settings.turnNanos()), suspect.evidence(now));
+                suspect.request(), Math.max(left, settings.trialTurnNanos()), suspect.evidence(now));
     }
 
-    private boolean held(Suspect suspect) {
-        return suspect.standing() >= settings.heldFrom();
+    private boolean isQuarantined(Suspect suspect) {
+        return suspect.unclearedCrashes() >= settings.quarantineThreshold();
     }
 
-    private long heldUntil(Suspect suspect) {
-        return suspect.newestStandingNanos() + settings.holdAfter(suspect.standing());
+    private long quarantinedUntilNanos(Suspect suspect) {
+        return suspect.newestUnclearedNanos() + settings.quarantineNanosAfter(suspect.unclearedCrashes());
     }
 
-    /** Numbers the turn of trials, from 0 at the end of the hold. */
-    private long turn(Suspect suspect) {
-        return Math.max(0, timers.nanos() - heldUntil(suspect)) / settings.turnNanos();
+    /** Returns the number of the current trial turn, counted from 0 when the quarantine time is over. */
+    private long trialTurn(Suspect suspect) {
+        return Math.max(0, timers.nanos() - quarantinedUntilNanos(suspect)) / settings.trialTurnNanos();
     }
 
-    private long keptUntil(Suspect suspect) {
-        return (held(suspect) ? heldUntil(suspect) : suspect.newestNanos()) + settings.keptNanos();
+    private long retainedUntilNanos(Suspect suspect) {
+        return (isQuarantined(suspect) ? quarantinedUntilNanos(suspect) : suspect.newestNanos())
+                + settings.retentionNanos();
     }
 
-    private void forget(RequestDigest request) {
+    private void remove(RequestDigest request) {
         if (suspects.remove(request) != null) {
-            targets.computeIfPresent(request.pathHash(), (t, n) -> n == 1 ? null : n - 1);
-            changed = true;
+            suspectsByPathHash.computeIfPresent(request.pathHash(), (t, n) -> n == 1 ? null : n - 1);
+            fingerprintStale = true;
         }
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/QuarantineStatus.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/QuarantineStatus.java
@@ -1,27 +1,30 @@
 package org.verbenadyke.kernel.quarantine;
 
 /**
- * How a request stands, by what is known of the upstreams that ended while they had it.
+ * How a request may run, by the known crashes of upstreams at which the request was in flight.
  */
 public sealed interface QuarantineStatus {
-    /** The standing of nearly all requests. */
+    /** The status of nearly all requests. */
     QuarantineStatus UNRESTRICTED = new Unrestricted();
 
-    /** The standing of a request that must have no other suspect beside it. */
+    /** The status of a request that must not run together with another suspect. */
     QuarantineStatus SOLE_SUSPECT = new SoleSuspect();
 
-    /** Nothing, or too little, is known against it. */
+    /** No crash, or too few, are known. */
     record Unrestricted() implements QuarantineStatus {}
 
-    /** It may run, but at no upstream beside another suspect, so that an end shows which of them it was. */
+    /**
+     * The request may run, but at no upstream together with another suspect, so that a crash shows which request caused
+     * it.
+     */
     record SoleSuspect() implements QuarantineStatus {}
 
     /**
-     * It must not run now.
+     * The request must not run now.
      *
-     * @param request what it asks for
-     * @param nanos after how long it may be tried again, in nanoseconds
-     * @param evidence the ends in words: which, how long ago, told by whom
+     * @param request the digest of the request
+     * @param retryAfterNanos after how long the request may be tried again, in nanoseconds
+     * @param evidence a description of the crashes: which upstreams, how long ago, reported by which nodes
      */
-    record Quarantined(RequestDigest request, long nanos, String evidence) implements QuarantineStatus {}
+    record Quarantined(RequestDigest request, long retryAfterNanos, String evidence) implements QuarantineStatus {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/RequestDigest.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/RequestDigest.java
@@ -12,19 +12,19 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * Names what a request asks for, whichever try, entry or caller's repeat it is: method, host, path with query, body,
- * team, and the credentials that name its caller. All other header fields differ from one try to the next, or may.
+ * Identifies equal requests across attempts, entry nodes and callers' repeats by method, host, path with query, body,
+ * team, and the credentials that identify the caller. All other header fields may differ between attempts.
  *
- * <p>128 bits of SHA-256: with a shorter or unkeyed fast hash a caller could find a request of its own that bears the
- * digest of another caller's and get that one refused.
+ * <p>128 bits of SHA-256: with a shorter or unkeyed fast hash a caller could craft a request with the same digest as
+ * another caller's request, and get that one refused.
  *
  * @param pathHash a short hash of the path, to rule out most requests without reading their bodies
  * @param high the upper half of the digest
  * @param low the lower half of the digest
  */
 public record RequestDigest(int pathHash, long high, long low) {
-    /** The fields that tell whom and for whom a request asks. */
-    private static final Set<String> IDENTITY = Set.of("host", "authorization", "api-key", "cookie");
+    /** The header fields that identify the host and the caller. */
+    private static final Set<String> IDENTITY_HEADERS = Set.of("host", "authorization", "api-key", "cookie");
 
     /**
      * Digests a request.
@@ -34,17 +34,17 @@
      */
     public static RequestDigest of(Message.Content content) {
         MessageDigest sha = sha256();
-        part(sha, content.method().getBytes(StandardCharsets.UTF_8));
-        part(sha, content.path().getBytes(StandardCharsets.UTF_8));
+        updateWithLength(sha, content.method().getBytes(StandardCharsets.UTF_8));
+        updateWithLength(sha, content.path().getBytes(StandardCharsets.UTF_8));
         content.headers().stream()
-                .filter(f -> IDENTITY.contains(f.name().toLowerCase(Locale.ROOT)))
+                .filter(f -> IDENTITY_HEADERS.contains(f.name().toLowerCase(Locale.ROOT)))
                 .map(RequestDigest::line)
                 .sorted()
-                .forEach(line -> part(sha, line.getBytes(StandardCharsets.UTF_8)));
-        part(sha, content.body());
-        part(sha, content.team().getBytes(StandardCharsets.UTF_8));
+                .forEach(line -> updateWithLength(sha, line.getBytes(StandardCharsets.UTF_8)));
+        updateWithLength(sha, content.body());
+        updateWithLength(sha, content.team().getBytes(StandardCharsets.UTF_8));
         ByteBuffer digest = ByteBuffer.wrap(sha.digest());
-        return new RequestDigest(targetOf(content), digest.getLong(), digest.getLong());
+        return new RequestDigest(pathHashOf(content), digest.getLong(), digest.getLong());
     }
 
     /**
@@ -53,12 +53,12 @@
      * @param content the request
      * @return the hash that its digest holds
      */
-    public static int targetOf(Message.Content content) {
+    public static int pathHashOf(Message.Content content) {
         return content.path().hashCode();
     }
 
-    /** Takes a part with its length, so that no two requests run together to the same bytes. */
-    private static void part(MessageDigest sha, byte[] bytes) {
+    /** Adds a part with its length, so that no two different requests yield the same bytes. */
+    private static void updateWithLength(MessageDigest sha, byte[] bytes) {
         sha.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
         sha.update(bytes);
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Suspect.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Suspect.java
@@ -8,21 +8,21 @@
 import org.verbenadyke.kernel.routing.Rendezvous;
 
 /**
- * All that is known against one request. Immutable; merging is idempotent and independent of order, as an end that was
- * cleared stays so.
+ * The crashes known of one request. Immutable; merging is idempotent and independent of order, as a crash once cleared
+ * stays cleared.
  */
 final class Suspect {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final RequestDigest request;
-    private final Map<String, UpstreamCrash> ends;
+    private final Map<String, UpstreamCrash> crashes;
 
-    private Suspect(RequestDigest request, Map<String, UpstreamCrash> ends) {
+    private Suspect(RequestDigest request, Map<String, UpstreamCrash> crashes) {
         this.request = request;
-        this.ends = ends;
+        this.crashes = crashes;
     }
 
-    /** Creates a suspect against which nothing is known yet. */
+    /** Creates a suspect without crashes. */
     static Suspect of(RequestDigest request) {
         return new Suspect(request, Map.of());
     }
@@ -31,56 +31,59 @@
         return request;
     }
 
-    /** Returns this suspect with one more end, itself if that is no news. */
-    Suspect with(UpstreamCrash end) {
-        UpstreamCrash known = ends.get(end.upstream());
-        if (known != null && (known.cleared() || !end.cleared())) {
+    /** Returns this suspect with one merged crash, or this suspect itself if the crash is already known. */
+    Suspect with(UpstreamCrash crash) {
+        UpstreamCrash known = crashes.get(crash.upstream());
+        if (known != null && (known.cleared() || !crash.cleared())) {
             return this;
         }
-        Map<String, UpstreamCrash> more = new HashMap<>(ends);
-        more.put(end.upstream(), known == null ? end : known.clear());
-        return new Suspect(request, Map.copyOf(more));
+        Map<String, UpstreamCrash> merged = new HashMap<>(crashes);
+        merged.put(crash.upstream(), known == null ? crash : known.asCleared());
+        return new Suspect(request, Map.copyOf(merged));
     }
 
-    Collection<UpstreamCrash> ends() {
-        return ends.values();
+    Collection<UpstreamCrash> crashes() {
+        return crashes.values();
     }
 
-    /** Returns how many ends nothing has explained otherwise. */
-    int standing() {
-        return (int) ends.values().stream().filter(e -> !e.cleared()).count();
+    /** Returns the number of crashes that have not been cleared. */
+    int unclearedCrashes() {
+        return (int) crashes.values().stream().filter(e -> !e.cleared()).count();
     }
 
-    /** Tells whether this node saw one of the ends itself. */
-    boolean seenHere() {
-        return ends.values().stream().anyMatch(e -> e.reportedBy().isEmpty());
+    /** Returns whether this node observed one of the crashes itself. */
+    boolean observedLocally() {
+        return crashes.values().stream().anyMatch(e -> e.reportedBy().isEmpty());
     }
 
-    /** Returns the time of the newest end of those. */
-    long newestStandingNanos() {
-        return ends.values().stream()
+    /** Returns the time of the newest uncleared crash. */
+    long newestUnclearedNanos() {
+        return crashes.values().stream()
                 .filter(e -> !e.cleared())
-                .mapToLong(UpstreamCrash::atNanos)
+                .mapToLong(UpstreamCrash::crashedNanos)
                 .max()
                 .orElse(Long.MIN_VALUE);
     }
 
     long newestNanos() {
-        return ends.values().stream().mapToLong(UpstreamCrash::atNanos).max().orElse(Long.MIN_VALUE);
+        return crashes.values().stream()
+                .mapToLong(UpstreamCrash::crashedNanos)
+                .max()
+                .orElse(Long.MIN_VALUE);
     }
 
-    /** Returns a hash that is the same on all nodes that know the same. */
+    /** Returns a hash that is equal on all nodes that know the same crashes. */
     long fingerprint() {
-        return ends.values().stream()
+        return crashes.values().stream()
                 .mapToLong(e -> Rendezvous.hash(e.upstream(), e.request() + (e.cleared() ? "-" : "+")))
                 .sum();
     }
 
-    /** Words what stands against the request. */
+    /** Describes the uncleared crashes. */
     String evidence(long nowNanos) {
-        return ends.values().stream()
+        return crashes.values().stream()
                 .filter(e -> !e.cleared())
-                .map(e -> e.upstream() + " " + (nowNanos - e.atNanos()) / NANOS_PER_MILLI + " ms ago, "
+                .map(e -> e.upstream() + " " + (nowNanos - e.crashedNanos()) / NANOS_PER_MILLI + " ms ago, "
                         + (e.reportedBy().isEmpty() ? "seen here" : "told by " + e.reportedBy()))
                 .sorted()
                 .collect(Collectors.joining("; "));
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Trials.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/TrialSchedule.java
@@ -3,43 +3,43 @@
 import java.util.Optional;
 
 /**
- * Tells which upstream of a service may try a request that is held back. At any moment it is one, and all nodes that
- * know the same members agree on it without asking.
+ * Tells which upstream of a service may try a quarantined request. At any moment this is one upstream, and all nodes
+ * that know the same members agree on it without communicating.
  */
-public interface Trials {
+public interface TrialSchedule {
     /**
-     * Finds the upstream.
+     * Finds the upstream that may try a request.
      *
      * @param request the request
      * @param service the service that is to run it
-     * @param turn the number of the turn, counted from the end of the hold
+     * @param turn the number of the turn, counted from the end of the quarantine time
      * @return the upstream's id, empty if none is known
      */
     Optional<String> upstream(RequestDigest request, String service, long turn);
 
     /**
-     * Tells whether it is the upstream beside this node.
+     * Returns whether the upstream that may try a request is the one colocated with this node.
      *
      * @param request the request
      * @param turn the number of the turn
-     * @return whether it is
+     * @return whether it is the local upstream's turn
      */
-    boolean here(RequestDigest request, long turn);
+    boolean isLocal(RequestDigest request, long turn);
 
     /**
-     * Returns the trials of a node that knows no others.
+     * Returns the schedule of a node that knows no others.
      *
-     * @return every turn is its own
+     * @return a schedule in which every turn is local
      */
-    static Trials alone() {
-        return new Trials() {
+    static TrialSchedule standalone() {
+        return new TrialSchedule() {
             @Override
             public Optional<String> upstream(RequestDigest request, String service, long turn) {
                 return Optional.empty();
             }
 
             @Override
-            public boolean here(RequestDigest request, long turn) {
+            public boolean isLocal(RequestDigest request, long turn) {
                 return true;
             }
         };
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/UpstreamCrash.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/UpstreamCrash.java
@@ -1,16 +1,17 @@
 package org.verbenadyke.kernel.quarantine;
 
 /**
- * An upstream that ended while it had a request. Two reports of the same request and the same upstream are one.
+ * A crash of an upstream at which a request was in flight. Two reports of the same request and upstream are one crash.
  *
- * @param request what the request asks for
- * @param upstream the id of the upstream's start that ended
- * @param cleared whether the request has been answered since, so that it was not the cause
- * @param atNanos when the upstream ended, on the local clock in nanoseconds
- * @param reportedBy the node that told this one, empty for what was seen here
+ * @param request the digest of the request
+ * @param upstream the id of the start of the upstream that crashed
+ * @param cleared whether the request has been answered since, so that it did not cause the crash
+ * @param crashedNanos when the upstream crashed, on the local clock in nanoseconds
+ * @param reportedBy the node that reported the crash, empty if it was observed here
  */
-public record UpstreamCrash(RequestDigest request, String upstream, boolean cleared, long atNanos, String reportedBy) {
-    UpstreamCrash clear() {
-        return new UpstreamCrash(request, upstream, true, atNanos, reportedBy);
+public record UpstreamCrash(
+        RequestDigest request, String upstream, boolean cleared, long crashedNanos, String reportedBy) {
+    UpstreamCrash asCleared() {
+        return new UpstreamCrash(request, upstream, true, crashedNanos, reportedBy);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberDutiesTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberDutiesTest.java
@@ -16,44 +16,44 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Tests whose turn it is to try a request that is held back. */
+/** Tests whose turn it is to try a quarantined request. */
 final class MemberDutiesTest {
     private static final RequestDigest REQUEST = new RequestDigest(1, 2, 3);
     private static final RequestDigest OTHER = new RequestDigest(4, 5, 6);
     private static final Endpoint AT = new Endpoint("10.0.0.1", 1);
 
     private final MemberTable table = MemberTable.empty();
-    private final List<MemberRecord> able = List.of(
+    private final List<MemberRecord> accepting = List.of(
             member("a", "s", MemberState.ALIVE),
             member("b", "s", MemberState.ALIVE),
             member("c", "s", MemberState.ALIVE));
 
     MemberDutiesTest() {
-        able.forEach(r -> table.merge(r, 0));
+        accepting.forEach(r -> table.merge(r, 0));
         table.merge(member("leaving", "s", MemberState.DRAINING), 0);
         table.merge(member("other", "t", MemberState.ALIVE), 0);
     }
 
     @Test
-    void givesEachUpstreamThatTakesWorkItsTurn() {
-        MemberDuties duties = MemberDuties.of(able::getFirst, table);
+    void givesEachAcceptingUpstreamATurn() {
+        MemberDuties duties = MemberDuties.of(accepting::getFirst, table);
         Set<String> turns = LongStream.range(0, 3)
                 .mapToObj(t -> duties.upstream(REQUEST, "s", t).orElseThrow())
                 .collect(Collectors.toSet());
-        assertEquals(able.stream().map(MemberRecord::upstreamId).collect(Collectors.toSet()), turns);
+        assertEquals(accepting.stream().map(MemberRecord::upstreamId).collect(Collectors.toSet()), turns);
         assertEquals(duties.upstream(REQUEST, "s", 1), duties.upstream(REQUEST, "s", 4));
         assertEquals(Optional.empty(), duties.upstream(REQUEST, "unknown", 0));
     }
 
     @Test
-    void isOneUpstreamsTurnAtATime() {
+    void givesTheTurnToOneUpstreamAtATime() {
         for (RequestDigest request : List.of(REQUEST, OTHER)) {
             for (long turn = 0; turn < 10; turn++) {
                 long t = turn;
-                long here = able.stream()
-                        .filter(r -> MemberDuties.of(() -> r, table).here(request, t))
+                long local = accepting.stream()
+                        .filter(r -> MemberDuties.of(() -> r, table).isLocal(request, t))
                         .count();
-                assertEquals(1, here);
+                assertEquals(1, local);
             }
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -32,7 +32,7 @@
 /** Tests {@link MemberLog}. */
 final class MemberLogTest {
     private static final String UNREADABLE = "unreadable";
-    private static final QuarantinedRequest HELD = new QuarantinedRequest(new RequestDigest(1, 2, 3), List.of());
+    private static final QuarantinedRequest QUARANTINED = new QuarantinedRequest(new RequestDigest(1, 2, 3), List.of());
     private static final long HOUR_NANOS = 3_600_000_000_000L;
     private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -45,18 +45,18 @@
     private long spreadNanos;
 
     @Test
-    void learnsTheMembersBesideARecordThatCanNotBeRead() {
+    void skipsAnUnreadableRecordAndLearnsTheOthers() {
         log.page(record("a", "a"), record("b", UNREADABLE), record("c", "c"));
         start();
         assertEquals(List.of("a", "c"), learned);
         assertEquals(1, counters.events(Event.RECORD_SKIPPED));
-        Decision.RecordSkipped noted = (Decision.RecordSkipped) decisions.get(0);
-        assertEquals("members", noted.source());
-        assertEquals("b", noted.key());
+        Decision.RecordSkipped skipped = (Decision.RecordSkipped) decisions.get(0);
+        assertEquals("members", skipped.source());
+        assertEquals("b", skipped.key());
     }
 
     @Test
-    void learnsNobodyFromARecordUnderTheKeyOfAnother() {
+    void skipsARecordUnderTheKeyOfAnotherMember() {
         log.page(record("a", "a"), record("b", "c"), record("", "d"), record("e", "e"));
         start();
         assertEquals(List.of("a", "e"), learned);
@@ -64,10 +64,14 @@
     }
 
     @Test
-    void restoresWhatWasHeldBackFromBesideTheMembers() {
-        log.page(record("a", "a"), record(HELD.key(), HELD.key()), record("b", HELD.key()), record("c", "c"));
+    void restoresQuarantinedRequestsStoredAmongTheMembers() {
+        log.page(
+                record("a", "a"),
+                record(QUARANTINED.key(), QUARANTINED.key()),
+                record("b", QUARANTINED.key()),
+                record("c", "c"));
         start();
-        assertEquals(List.of("a", HELD.key(), "c"), learned);
+        assertEquals(List.of("a", QUARANTINED.key(), "c"), learned);
         assertEquals(1, counters.events(Event.RECORD_SKIPPED));
     }
 
@@ -79,17 +83,17 @@
     }
 
     @Test
-    void readsOnPastARecordThatCanNotBeRead() {
+    void readsThePagesAfterAnUnreadableRecord() {
         log.page(record("a", UNREADABLE));
         log.page(record("b", "b"));
         start();
         assertEquals(List.of("b"), learned);
-        // The last read follows this node's own listing, since hardly anybody else is listed.
-        assertEquals(List.of(0L, 1L, 2L, 2L), log.asked);
+        // The last read follows this node's own registration, since hardly any other node is registered.
+        assertEquals(List.of(0L, 1L, 2L, 2L), log.readOffsets);
     }
 
     @Test
-    void readsOnPastAPageOfWhichNothingIsLeft() {
+    void readsThePagesAfterAnEmptyPage() {
         log.page();
         log.page(record("b", "b"));
         start();
@@ -97,72 +101,72 @@
     }
 
     @Test
-    void listsItselfWhileFewOthersAreListedAndReadsAgainAfterwards() {
+    void registersWhileFewOthersAreRegisteredAndReadsAgain() {
         log.page(record("a", "a"), record("b", "b"));
         start();
         assertEquals(1, log.appends);
-        assertEquals(List.of(0L, 1L, 1L), log.asked);
-        assertEquals(1, node.listings);
+        assertEquals(List.of(0L, 1L, 1L), log.readOffsets);
+        assertEquals(1, node.registrations);
     }
 
     @Test
-    void writesItsRecordAndReadsAllAgainWhenTheLogWasReplaced() {
+    void writesItsRecordAndRereadsAllWhenTheLogWasReplaced() {
         log.page(record("a", "a"), record("b", "b"));
         start();
         int appends = log.appends;
-        log.asked.clear();
+        log.readOffsets.clear();
         log.replaced.replaced(5, 6);
         assertEquals(appends + 1, log.appends);
         clock.advance(SECOND_NANOS);
-        assertEquals(0L, log.asked.getFirst());
+        assertEquals(0L, log.readOffsets.getFirst());
     }
 
     @Test
-    void writesNothingToALogThatWasReplacedWhenItIsNotListed() {
+    void writesNothingToAReplacedLogWhenNotRegistered() {
         log.complete = true;
-        log.page(enough());
-        node.heard = true;
+        log.page(enoughRegistered());
+        node.receivedAny = true;
         start();
         log.replaced.replaced(5, 6);
         clock.advance(SECOND_NANOS);
         assertEquals(0, log.appends);
-        assertEquals(0L, log.asked.getLast());
+        assertEquals(0L, log.readOffsets.getLast());
     }
 
     @Test
-    void spreadsTheFirstReadingAmongNodesThatStartTogether() {
+    void delaysTheFirstReadAtRandomWithinTheSpread() {
         spreadNanos = SECOND_NANOS;
-        log.page(enough());
+        log.page(enoughRegistered());
         start();
-        assertEquals(List.of(), log.asked);
+        assertEquals(List.of(), log.readOffsets);
         clock.advance(SECOND_NANOS);
-        assertEquals(0L, log.asked.getFirst());
+        assertEquals(0L, log.readOffsets.getFirst());
     }
 
     @Test
-    void costsOneCallWhenEnoughOthersAreListedAndAnswer() {
+    void makesOneCallWhenEnoughOthersAreRegisteredAndAnswer() {
         log.complete = true;
-        log.page(enough());
-        node.heard = true;
+        log.page(enoughRegistered());
+        node.receivedAny = true;
         start();
         clock.advance(10 * SECOND_NANOS);
         assertEquals(0, log.appends);
-        assertEquals(List.of(0L), log.asked);
-        assertEquals(0, node.listings);
+        assertEquals(List.of(0L), log.readOffsets);
+        assertEquals(0, node.registrations);
     }
 
     @Test
-    void listsItselfWhenNoneOfThoseListedAnswers() {
-        log.page(enough());
+    void registersWhenNoRegisteredNodeAnswers() {
+        log.page(enoughRegistered());
         start();
         clock.advance(SECOND_NANOS);
         assertEquals(1, log.appends);
     }
 
     @Test
-    void listsItselfWhenItBecomesAReader() {
-        log.page(enough());
-        node.heard = true;
+    void registersWhenItBecomesAFollower() {
+        log.page(enoughRegistered());
+        node.receivedAny = true;
         start();
         clock.advance(SECOND_NANOS);
         assertEquals(0, log.appends);
@@ -172,29 +176,29 @@
     }
 
     @Test
-    void restsOnTheRecordOfAnEarlierStartAtTheSameAddress() {
+    void reusesTheRecordOfAnEarlierStartAtTheSameAddress() {
         log.page(record("self", "self"), record("a", "a"));
         start();
         assertEquals(0, log.appends);
-        assertEquals(1, node.listings);
+        assertEquals(1, node.registrations);
     }
 
     @Test
-    void saysThatItLeavesOnlyWhereItIsListed() {
-        log.page(enough());
-        node.heard = true;
-        MemberLog unlisted = start();
-        unlisted.leave();
+    void recordsItsDepartureOnlyWhenRegistered() {
+        log.page(enoughRegistered());
+        node.receivedAny = true;
+        MemberLog unregistered = start();
+        unregistered.leave();
         assertEquals(0, log.appends);
         log.pages.clear();
-        MemberLog listed = start();
+        MemberLog registeredLog = start();
         assertEquals(1, log.appends);
-        listed.leave();
+        registeredLog.leave();
         assertEquals(2, log.appends);
     }
 
-    private static LogService.LogRecord[] enough() {
-        return IntStream.range(0, MemberLog.LISTED_ENOUGH)
+    private static LogService.LogRecord[] enoughRegistered() {
+        return IntStream.range(0, MemberLog.ENOUGH_REGISTERED)
                 .mapToObj(i -> record("n" + i, "n" + i))
                 .toArray(LogService.LogRecord[]::new);
     }
@@ -208,7 +212,7 @@
                 (to, message) -> {},
                 log,
                 new NameCodec(),
-                new HeldNameCodec(),
+                new QuarantineKeyCodec(),
                 null,
                 () -> new SplittableRandom(1),
                 RoutePlanStore.disabled(),
@@ -233,10 +237,10 @@
         return new MemberRecord(id, 1, 0, MemberState.ALIVE, here, here, new Location("r", "d"), "", 0, 0);
     }
 
-    /** Gives one page after the other, a record as long as an offset. */
+    /** Returns one page after the other; each page advances the offset by one. */
     private static final class PagedLog implements LogService {
         private final List<List<LogRecord>> pages = new ArrayList<>();
-        private final List<Long> asked = new ArrayList<>();
+        private final List<Long> readOffsets = new ArrayList<>();
         private LogEpoch.Listener replaced;
         private boolean complete;
         private int appends;
@@ -251,25 +255,25 @@
         }
 
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> callback) {
             appends++;
-            taker.accept(new AppendResult.At(0));
+            callback.accept(new AppendResult.At(0));
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
-            asked.add(fromOffset);
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> callback) {
+            readOffsets.add(fromOffset);
             boolean written = fromOffset < pages.size();
             List<LogRecord> page = written ? pages.get((int) fromOffset) : List.of();
-            taker.accept(new ReadResult.Records(0, fromOffset + (written ? 1 : 0), page, complete));
+            callback.accept(new ReadResult.Records(0, fromOffset + (written ? 1 : 0), page, complete));
         }
     }
 
-    /** A node of which the test says what it sees. */
+    /** A node whose state the test sets. */
     private final class Node implements MemberLog.Host {
-        private boolean heard;
+        private boolean receivedAny;
         private boolean reader;
-        private int listings;
+        private int registrations;
 
         @Override
         public MemberRecord self() {
@@ -282,28 +286,28 @@
         }
 
         @Override
-        public void restore(QuarantinedRequest held) {
-            learned.add(held.key());
+        public void restore(QuarantinedRequest quarantined) {
+            learned.add(quarantined.key());
         }
 
         @Override
-        public boolean heardAny() {
-            return heard;
+        public boolean receivedAny() {
+            return receivedAny;
         }
 
         @Override
-        public boolean reader() {
+        public boolean isFollower() {
             return reader;
         }
 
         @Override
-        public void listed() {
-            listings++;
+        public void registered() {
+            registrations++;
         }
     }
 
-    /** Words a held request as its key. */
-    private static final class HeldNameCodec implements RecordCodec<QuarantinedRequest> {
+    /** Encodes a quarantined request as its key. */
+    private static final class QuarantineKeyCodec implements RecordCodec<QuarantinedRequest> {
         @Override
         public byte[] encode(QuarantinedRequest record) {
             return bytes(record.key());
@@ -312,14 +316,14 @@
         @Override
         public QuarantinedRequest decode(byte[] bytes) {
             String name = new String(bytes, StandardCharsets.UTF_8);
-            if (!name.equals(HELD.key())) {
+            if (!name.equals(QUARANTINED.key())) {
                 throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, name);
             }
-            return HELD;
+            return QUARANTINED;
         }
     }
 
-    /** Words a member as its name. */
+    /** Encodes a member as its name. */
     private static final class NameCodec implements RecordCodec<MemberRecord> {
         @Override
         public byte[] encode(MemberRecord record) {
@@ -329,7 +333,7 @@
         @Override
         public MemberRecord decode(byte[] bytes) {
             String name = new String(bytes, StandardCharsets.UTF_8);
-            if (name.equals(UNREADABLE) || name.equals(HELD.key())) {
+            if (name.equals(UNREADABLE) || name.equals(QUARANTINED.key())) {
                 throw VerbenadykeException.of(ErrorCode.FRAME_MALFORMED, name);
             }
             return member(name);
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -27,20 +27,20 @@
 /** Tests the start of {@link NodeCore} while timers already run on another thread. */
 final class NodeCoreStartTest {
     private static final Endpoint HERE = new Endpoint("127.0.0.1", 1);
-    private static final int RUNS_MOST = 50;
+    private static final int MAX_RUNS = 50;
 
     private final List<String> failures = new ArrayList<>();
     private int runs;
 
     @Test
-    void bearsTimersThatFireBeforeItIsComplete() {
+    void toleratesTimersThatFireBeforeTheConstructorReturns() {
         Location place = new Location("r", "d");
         MemberRecord self = new MemberRecord("n", 1, 0, MemberState.ALIVE, HERE, HERE, place, "", 0, 0);
         NodeCore.start(
                 new CoreParts(
                         self,
                         List.of(),
-                        new Eager(),
+                        new EagerTimers(),
                         (endpoint, handler) -> {},
                         (to, message) -> {},
                         new NoLog(),
@@ -56,8 +56,8 @@
         assertEquals(List.of(), failures);
     }
 
-    /** Runs each task as soon as it is set, as a busy thread beside the starting one may. */
-    private final class Eager implements TimerService {
+    /** Runs each task as soon as it is scheduled, as a timer thread concurrent with the starting thread may. */
+    private final class EagerTimers implements TimerService {
         @Override
         public long nanos() {
             return 0;
@@ -70,7 +70,7 @@
 
         @Override
         public Subscription after(long delayNanos, Runnable task) {
-            if (runs++ < RUNS_MOST) {
+            if (runs++ < MAX_RUNS) {
                 try {
                     task.run();
                 } catch (RuntimeException e) {
@@ -89,18 +89,18 @@
     /** A log that never answers. */
     private static final class NoLog implements LogService {
         @Override
-        public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
+        public void append(String stream, String key, byte[] record, Consumer<AppendResult> callback) {
             // Never answers.
         }
 
         @Override
-        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
+        public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> callback) {
             // Never answers.
         }
     }
 
     /**
-     * A codec that nothing is decoded with.
+     * A codec that must not be used for decoding.
      *
      * @param <T> the type of the records
      */
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -16,83 +16,83 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests {@link FollowDuty}, alone and in fleets on a virtual clock of which any nodes may lose the store. */
+/** Tests {@link FollowDuty} on one node and in fleets on a virtual clock, where any node may lose the store. */
 final class FollowDutyTest {
     private static final long MILLI = 1_000_000L;
-    private static final long LOOK_NANOS = 100 * MILLI;
+    private static final long CHECK_NANOS = 100 * MILLI;
     private static final long ROUND_NANOS = 250 * MILLI;
     private static final int SEEDS = 20;
     private static final int PLACES = 5;
 
-    /** What a change may take: 3 s on a fleet of this size, of which its news takes less than half a second. */
-    private static final long UNREAD_MOST_NANOS = 2_500 * MILLI;
+    /** A change may take 3 s on a fleet of this size, of which spreading the update takes less than half a second. */
+    private static final long MAX_UNFOLLOWED_NANOS = 2_500 * MILLI;
 
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
 
     @Test
-    void readsWhileItIsAlone() {
+    void followsWhileItIsTheOnlyNode() {
         Fleet fleet = new Fleet(1, 1, new SplittableRandom(1));
         fleet.run(2_000);
-        assertTrue(fleet.nodes.getFirst().reading);
+        assertTrue(fleet.nodes.getFirst().following);
     }
 
     @Test
-    void tellsNoReaderBeforeOneIsKnown() {
+    void reportsNoFollowerBeforeOneIsKnown() {
         Fleet fleet = new Fleet(1, 1, new SplittableRandom(1));
         assertEquals(FollowDuty.NEVER_MILLIS, fleet.nodes.getFirst().duty.ageMillis());
     }
 
     @Test
-    void sharesTheReadersByDataCentres() {
-        assertEquals(6, readers(96, 3));
-        assertEquals(5, readers(96, 5));
-        assertEquals(8, readers(96, 8));
-        assertEquals(6, readers(13, 1));
+    void spreadsTheFollowersOverDataCentres() {
+        assertEquals(6, followers(96, 3));
+        assertEquals(5, followers(96, 5));
+        assertEquals(8, followers(96, 8));
+        assertEquals(6, followers(13, 1));
     }
 
-    private long readers(int nodes, int places) {
+    private long followers(int nodes, int places) {
         Fleet fleet = new Fleet(nodes, places, new SplittableRandom(1));
         fleet.run(9_000);
-        return fleet.nodes.stream().filter(n -> n.reading).count();
+        return fleet.nodes.stream().filter(n -> n.following).count();
     }
 
     @Test
-    void keepsAReaderWhenAnyThirdOfTheNodesLosesTheStore() {
+    void keepsAFollowerWhenAnyThirdOfTheNodesLosesTheStore() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, PLACES + 1), random);
             fleet.run(5_000);
             for (int i = 0; i < 4; i++) {
                 fleet.nodes.forEach(n -> n.cut = random.nextInt(3) == 0);
-                assertTrue(fleet.longestUnread(6_000) <= UNREAD_MOST_NANOS, "seed " + seed);
+                assertTrue(fleet.longestUnfollowed(6_000) <= MAX_UNFOLLOWED_NANOS, "seed " + seed);
             }
         }
     }
 
     @Test
-    void findsAReaderWhenJustTheReadersLoseTheStore() {
+    void findsAFollowerWhenOnlyTheFollowersLoseTheStore() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, PLACES + 1), random);
             fleet.run(5_000);
-            fleet.nodes.forEach(n -> n.cut = n.reading);
-            assertTrue(fleet.longestUnread(10_000) <= UNREAD_MOST_NANOS, "seed " + seed);
+            fleet.nodes.forEach(n -> n.cut = n.following);
+            assertTrue(fleet.longestUnfollowed(10_000) <= MAX_UNFOLLOWED_NANOS, "seed " + seed);
         }
     }
 
     @Test
-    void asksTheStoreNoMoreOftenWithMoreNodesWhileItIsAway() {
+    void limitsStoreRequestsDuringAnOutageWhateverTheFleetSize() {
         Fleet small = new Fleet(30, PLACES, new SplittableRandom(1));
         Fleet large = new Fleet(300, PLACES, new SplittableRandom(1));
         assertTrue(large.triesWithoutStore(9_000) <= small.triesWithoutStore(9_000) * 3 / 2);
     }
 
     @Test
-    void leavesTheDutyWhenItDrains() {
+    void isNoFollowerWhileDraining() {
         Fleet fleet = new Fleet(1, 1, new SplittableRandom(1));
         fleet.run(2_000);
         fleet.nodes.getFirst().state = MemberState.DRAINING;
-        assertFalse(fleet.nodes.getFirst().duty.reader());
+        assertFalse(fleet.nodes.getFirst().duty.isFollower());
     }
 
     private static MemberRecord member(int i, int places, MemberState state) {
@@ -100,7 +100,7 @@
         return new MemberRecord("n" + i, 1, 0, state, at, at, new Location("r", "d" + i % places), "", 0, 0);
     }
 
-    /** Nodes that know each other, tell each other the age of the last sign of a reader, and may lose the store. */
+    /** Nodes that know each other, exchange the age of the newest follower heartbeat, and may lose the store. */
     private final class Fleet {
         private final List<Node> nodes = new ArrayList<>();
         private final SplittableRandom random;
@@ -115,30 +115,30 @@
                 nodes.add(new Node(i, places, table));
             }
             for (Node n : nodes) {
-                clock.after(random.nextLong(LOOK_NANOS), () -> clock.every(LOOK_NANOS, n::look));
-                clock.after(random.nextLong(ROUND_NANOS), () -> clock.every(ROUND_NANOS, () -> tellOne(n)));
+                clock.after(random.nextLong(CHECK_NANOS), () -> clock.every(CHECK_NANOS, n::check));
+                clock.after(random.nextLong(ROUND_NANOS), () -> clock.every(ROUND_NANOS, () -> gossipWithOne(n)));
             }
         }
 
-        private void tellOne(Node node) {
+        private void gossipWithOne(Node node) {
             Node other = nodes.get(random.nextInt(nodes.size()));
-            int told = node.duty.ageMillis();
-            node.duty.heard(other.duty.ageMillis());
-            other.duty.heard(told);
+            int age = node.duty.ageMillis();
+            node.duty.followerAgeReceived(other.duty.ageMillis());
+            other.duty.followerAgeReceived(age);
         }
 
         private void run(long millis) {
             clock.advance(millis * MILLI);
         }
 
-        private long longestUnread(long millis) {
+        private long longestUnfollowed(long millis) {
             long longest = 0;
-            long unread = 0;
+            long unfollowed = 0;
             for (long t = 0; t < millis; t += 10) {
                 run(10);
-                boolean read = nodes.stream().anyMatch(n -> n.reading && !n.cut);
-                unread = read ? 0 : unread + 10 * MILLI;
-                longest = Math.max(longest, unread);
+                boolean followed = nodes.stream().anyMatch(n -> n.following && !n.cut);
+                unfollowed = followed ? 0 : unfollowed + 10 * MILLI;
+                longest = Math.max(longest, unfollowed);
             }
             return longest;
         }
@@ -152,14 +152,14 @@
         }
     }
 
-    /** A node that reads in spells of some seconds, and notices at once that it is turned away. */
+    /** A node that follows for some seconds at a time, and notices at once when the store rejects it. */
     private final class Node {
         private final FollowDuty duty;
         private final int number;
         private final int places;
         private MemberState state = MemberState.ALIVE;
         private boolean cut;
-        private boolean reading;
+        private boolean following;
         private long until;
         private long notBefore;
         private int tries;
@@ -171,25 +171,25 @@
                     clock, FollowSettings.standard(), () -> member(number, places, state), table, () -> true);
         }
 
-        private void look() {
-            if (reading && cut) {
+        private void check() {
+            if (following && cut) {
                 stop();
                 notBefore = clock.nanos() + 2_000 * MILLI;
             }
-            if (reading && clock.nanos() >= until && !duty.designated()) {
+            if (following && clock.nanos() >= until && !duty.designated()) {
                 stop();
             }
-            if (!reading && clock.nanos() >= notBefore && duty.shouldStart()) {
+            if (!following && clock.nanos() >= notBefore && duty.shouldStart()) {
                 tries++;
-                reading = !cut;
-                duty.setFollowing(reading);
+                following = !cut;
+                duty.setFollowing(following);
                 until = clock.nanos() + 6_000 * MILLI;
                 notBefore = clock.nanos() + (cut ? 2_000 * MILLI : 0);
             }
         }
 
         private void stop() {
-            reading = false;
+            following = false;
             duty.setFollowing(false);
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -22,7 +22,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests which requests a {@link Quarantine} holds back, and for how long. */
+/** Tests which requests {@link Quarantine} quarantines, and for how long. */
 final class QuarantineTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Message.Content BAD = content("/p", "bad");
@@ -32,83 +32,83 @@
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
     private final Counters counters = Counters.create();
     private final List<Decision> decisions = new ArrayList<>();
-    private final List<Long> turnsHere = new ArrayList<>();
+    private final List<Long> localTurns = new ArrayList<>();
     private final Quarantine quarantine =
-            Quarantine.create(clock, QuarantineSettings.standard(), counters, decisions::add, new Turns());
+            Quarantine.create(clock, QuarantineSettings.standard(), counters, decisions::add, new FixedTrials());
 
     @Test
-    void holdsARequestBackFromTheThirdEndOn() {
+    void quarantinesARequestFromTheThirdCrashOn() {
         quarantine.recordCrash(BAD, "u1");
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
         quarantine.recordCrash(BAD, "u2");
         assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
         quarantine.recordCrash(BAD, "u3");
-        assertHeld(20, quarantine.statusAtUpstream(BAD));
-        assertHeld(20, quarantine.statusAtEntry(BAD));
+        assertQuarantined(20, quarantine.statusAtUpstream(BAD));
+        assertQuarantined(20, quarantine.statusAtEntry(BAD));
         assertEquals(1, counters.events(Event.QUARANTINE_BEGUN));
     }
 
     @Test
-    void holdsNoOtherRequestBack() {
-        endThree();
+    void quarantinesNoOtherRequest() {
+        recordThreeCrashes();
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtEntry(SAME_PATH));
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(OTHER));
     }
 
     @Test
-    void countsAnEndOnceWhoeverTellsOfItAndPassesItOnOnce() {
-        List<UpstreamCrash> news = new ArrayList<>();
-        quarantine.onNews(news::add);
+    void countsAndForwardsACrashOnceWhoeverReportsIt() {
+        List<UpstreamCrash> forwarded = new ArrayList<>();
+        quarantine.onCrash(forwarded::add);
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordCrash(BAD, "u1");
-        for (String teller : List.of("n1", "n2", "n3")) {
-            quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), teller));
+        for (String reporter : List.of("n1", "n2", "n3")) {
+            quarantine.learn(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), reporter));
         }
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
-        assertEquals(1, news.size());
+        assertEquals(1, forwarded.size());
         quarantine.recordCrash(BAD, "u2");
         assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
     }
 
     @Test
-    void takesAnAnswerForProofThatTheRequestWasNotTheCause() {
+    void clearsARequestThatWasAnswered() {
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordCrash(BAD, "u2");
         quarantine.recordAnswer(SAME_PATH);
         assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
         quarantine.recordAnswer(BAD);
-        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
+        quarantine.learn(new UpstreamCrash(RequestDigest.of(BAD), "u1", false, clock.nanos(), "late"));
         quarantine.recordCrash(BAD, "u3");
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
     }
 
     @Test
-    void letsUpstreamsTryByTurnsAndWaitsLongerEachTime() {
-        endThree();
-        turnsHere.add(2L);
+    void letsUpstreamsTryInTurnAndBacksOffAfterEachCrash() {
+        recordThreeCrashes();
+        localTurns.add(2L);
         assertEquals(Optional.of("s-0"), quarantine.trialUpstream(BAD, "s"));
         clock.advance(20 * SECOND);
         assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtEntry(BAD));
-        assertHeld(1, quarantine.statusAtUpstream(BAD));
+        assertQuarantined(1, quarantine.statusAtUpstream(BAD));
         clock.advance(2 * SECOND);
         assertEquals(QuarantineStatus.SOLE_SUSPECT, quarantine.statusAtUpstream(BAD));
         assertEquals(Optional.of("s-2"), quarantine.trialUpstream(BAD, "s"));
         assertEquals(Optional.empty(), quarantine.trialUpstream(SAME_PATH, "s"));
         clock.advance(SECOND);
-        assertHeld(1, quarantine.statusAtUpstream(BAD));
+        assertQuarantined(1, quarantine.statusAtUpstream(BAD));
         quarantine.recordCrash(BAD, "u4");
-        assertHeld(80, quarantine.statusAtEntry(BAD));
+        assertQuarantined(80, quarantine.statusAtEntry(BAD));
         clock.advance(80 * SECOND);
         quarantine.recordCrash(BAD, "u5");
-        assertHeld(320, quarantine.statusAtEntry(BAD));
+        assertQuarantined(320, quarantine.statusAtEntry(BAD));
         clock.advance(320 * SECOND);
         quarantine.recordCrash(BAD, "u6");
-        assertHeld(600, quarantine.statusAtEntry(BAD));
+        assertQuarantined(600, quarantine.statusAtEntry(BAD));
     }
 
     @Test
-    void letsARequestGoThatWasAnsweredInATrial() {
-        endThree();
+    void liftsTheQuarantineOfARequestAnsweredInATrial() {
+        recordThreeCrashes();
         clock.advance(20 * SECOND);
         quarantine.recordAnswer(BAD);
         assertEquals(QuarantineStatus.UNRESTRICTED, quarantine.statusAtUpstream(BAD));
@@ -116,10 +116,10 @@
     }
 
     @Test
-    void tellsACallerWhenItMayBeTriedAgainAndWhy() {
-        endThree();
+    void refusesWithARetryAfterDelayAndTheEvidence() {
+        recordThreeCrashes();
         clock.advance(SECOND);
-        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
+        quarantine.learn(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
         decisions.clear();
         QuarantineStatus.Quarantined held =
                 assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
@@ -136,52 +136,52 @@
     }
 
     @Test
-    void knowsTheSameAsOthersInWhateverOrderItLearns() {
+    void hasTheSameFingerprintWhateverTheOrderOfReports() {
         Quarantine other = Quarantine.alone(clock);
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordAnswer(BAD);
-        endThree();
+        recordThreeCrashes();
         assertNotEquals(other.fingerprint(), quarantine.fingerprint());
-        quarantine.crashes(100).reversed().forEach(other::hear);
+        quarantine.crashes(100).reversed().forEach(other::learn);
         assertEquals(quarantine.fingerprint(), other.fingerprint());
         assertEquals(quarantine.statusAtEntry(BAD), other.statusAtEntry(BAD));
     }
 
     @Test
-    void tellsTheLogOfRequestsOfWhichItSawAnEnd() {
-        List<RequestDigest> told = new ArrayList<>();
-        quarantine.onHeld(told::add);
+    void reportsOnlyRequestsWithALocalCrashToTheLog() {
+        List<RequestDigest> reported = new ArrayList<>();
+        quarantine.onQuarantineChange(reported::add);
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordCrash(BAD, "u2");
-        quarantine.hear(new UpstreamCrash(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
-        assertEquals(1, told.size());
+        quarantine.learn(new UpstreamCrash(RequestDigest.of(BAD), "u3", false, clock.nanos(), "n1"));
+        assertEquals(1, reported.size());
         quarantine.recordCrash(BAD, "u4");
         quarantine.recordAnswer(BAD);
         for (String upstream : List.of("u1", "u2", "u3")) {
-            quarantine.hear(new UpstreamCrash(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
+            quarantine.learn(new UpstreamCrash(RequestDigest.of(OTHER), upstream, false, clock.nanos(), "n1"));
         }
-        assertEquals(Collections.nCopies(3, RequestDigest.of(BAD)), told);
+        assertEquals(Collections.nCopies(3, RequestDigest.of(BAD)), reported);
     }
 
     @Test
-    void isAsBeforeAfterAllNodesHaveStartedAnew() {
-        endThree();
+    void restoresTheQuarantineAfterAllNodesRestarted() {
+        recordThreeCrashes();
         clock.advance(5 * SECOND);
-        QuarantinedRequest held = quarantine.record(RequestDigest.of(BAD)).orElseThrow();
+        QuarantinedRequest held = quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow();
         clock.advance(5 * SECOND);
-        Quarantine anew = Quarantine.alone(clock);
-        anew.restore(held);
-        assertHeld(10, anew.statusAtEntry(BAD));
+        Quarantine restarted = Quarantine.alone(clock);
+        restarted.restore(held);
+        assertQuarantined(10, restarted.statusAtEntry(BAD));
         quarantine.recordAnswer(BAD);
-        anew.restore(quarantine.record(RequestDigest.of(BAD)).orElseThrow());
-        assertEquals(QuarantineStatus.UNRESTRICTED, anew.statusAtEntry(BAD));
-        assertEquals(Optional.empty(), quarantine.record(RequestDigest.of(OTHER)));
+        restarted.restore(quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow());
+        assertEquals(QuarantineStatus.UNRESTRICTED, restarted.statusAtEntry(BAD));
+        assertEquals(Optional.empty(), quarantine.logRecord(RequestDigest.of(OTHER)));
     }
 
     @Test
-    void forgetsWhatIsPastItsTime() {
+    void removesExpiredCrashes() {
         quarantine.recordCrash(OTHER, "u1");
-        endThree();
+        recordThreeCrashes();
         clock.advance(610 * SECOND);
         quarantine.sweep();
         assertEquals(3, quarantine.crashes(100).size());
@@ -192,40 +192,40 @@
     }
 
     @Test
-    void keepsWhatItHoldsBackInAFloodOfOthers() {
-        endThree();
-        int most = QuarantineSettings.standard().endsMost();
-        for (int i = 0; i < 2 * most; i++) {
+    void keepsQuarantinedRequestsInAFloodOfOtherCrashes() {
+        recordThreeCrashes();
+        int max = QuarantineSettings.standard().maxCrashes();
+        for (int i = 0; i < 2 * max; i++) {
             clock.advance(1_000);
             quarantine.recordCrash(content("/flood/" + i, ""), "u9");
         }
         quarantine.sweep();
-        assertTrue(quarantine.crashes(Integer.MAX_VALUE).size() <= most);
+        assertTrue(quarantine.crashes(Integer.MAX_VALUE).size() <= max);
         assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
     }
 
-    private void endThree() {
+    private void recordThreeCrashes() {
         for (String upstream : List.of("u1", "u2", "u3")) {
             quarantine.recordCrash(BAD, upstream);
         }
     }
 
-    private static void assertHeld(long seconds, QuarantineStatus standing) {
+    private static void assertQuarantined(long seconds, QuarantineStatus standing) {
         assertEquals(
                 seconds * SECOND,
-                assertInstanceOf(QuarantineStatus.Quarantined.class, standing).nanos());
+                assertInstanceOf(QuarantineStatus.Quarantined.class, standing).retryAfterNanos());
     }
 
-    /** Names an upstream after its service and the turn. */
-    private final class Turns implements Trials {
+    /** Names the upstream of each turn after the service and the turn. */
+    private final class FixedTrials implements TrialSchedule {
         @Override
         public Optional<String> upstream(RequestDigest request, String service, long turn) {
             return Optional.of(service + "-" + turn);
         }
 
         @Override
-        public boolean here(RequestDigest request, long turn) {
-            return turnsHere.contains(turn);
+        public boolean isLocal(RequestDigest request, long turn) {
+            return localTurns.contains(turn);
         }
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/RequestDigestTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/RequestDigestTest.java
@@ -10,20 +10,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-/** Tests by what {@link RequestDigest} takes two requests for the same. */
+/** Tests which requests have the same {@link RequestDigest}. */
 final class RequestDigestTest {
     private static final HeaderField HOST = new HeaderField("Host", "a.example");
     private static final RequestDigest USUAL = digest("GET", "/p/1?q=2", "b", HOST);
 
     @Test
-    void isTheSameForEveryTryAndRepeat() {
+    void isTheSameForEveryAttemptAndRetry() {
         HeaderField id = new HeaderField("x-request-id", "1");
         assertEquals(USUAL, digest("GET", "/p/1?q=2", "b", id, HOST));
         assertEquals(USUAL, digest("GET", "/p/1?q=2", "b", new HeaderField("host", "a.example")));
     }
 
     @Test
-    void differsByWhatIsAskedFor() {
+    void differsByMethodPathBodyAndHost() {
         assertNotEquals(USUAL, digest("PUT", "/p/1?q=2", "b", HOST));
         assertNotEquals(USUAL, digest("GET", "/p/1?q=3", "b", HOST));
         assertNotEquals(USUAL, digest("GET", "/p/1?q=2", "c", HOST));
