--- a/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/CoreSettings.java
@@ -10,12 +10,12 @@
 /**
  * The settings of a node's decision logic.
  *
- * @param policy the request path
+ * @param policy the policy of the request path
  * @param gossip how updates spread and failures are detected
  * @param config how the configuration's stream is read and written
  * @param owner how long the ownership of a key stays in doubt
  * @param rewriteNanos how often a node rewrites its record on the log, in nanoseconds
- * @param startSpreadNanos over how long nodes that start together spread their first reading of the members, in
+ * @param startSpreadNanos over how long nodes that start together spread their first read of the members' stream, in
  *     nanoseconds
  * @param quota how teams' limits are enforced
  */
@@ -33,12 +33,12 @@
      * The spread at the fleet's very first start, when no node is registered yet: all but the first few nodes then find
      * enough others registered, and need not request the routes from the store.
      */
-    private static final long FIRST_SPREAD_NANOS = 400_000_000L;
+    private static final long FIRST_START_SPREAD_NANOS = 400_000_000L;
 
     /**
      * Returns the default settings.
      *
-     * @param policy the request path
+     * @param policy the policy of the request path
      * @return the settings
      */
     public static CoreSettings with(Policy policy) {
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Returns the default settings of a node whose configuration is not kept on the node's own log.
+     * Returns the default settings of a node whose configuration is not kept on verbenadyke's own log.
      *
-     * @param policy the request path
+     * @param policy the policy of the request path
      * @return the settings
      */
     public static CoreSettings withoutConfigLog(Policy policy) {
@@ -69,7 +69,7 @@
      * @return the settings
      */
     public CoreSettings firstStart() {
-        return new CoreSettings(policy, gossip, config, owner, rewriteNanos, FIRST_SPREAD_NANOS, quota);
+        return new CoreSettings(policy, gossip, config, owner, rewriteNanos, FIRST_START_SPREAD_NANOS, quota);
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -32,7 +32,7 @@
     static final int ENOUGH_REGISTERED = 5;
 
     private static final long RETRY_NANOS = 1_000_000_000L;
-    private static final long POLL_NANOS = 30_000_000_000L;
+    private static final long REPEAT_NANOS = 30_000_000_000L;
 
     /** How often the node checks whether any other answers, and whether it must register: two rounds of gossip. */
     private static final long CHECK_NANOS = 500_000_000L;
@@ -109,7 +109,7 @@
         boolean done = result instanceof LogService.AppendResult.At;
         parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
         if (!done) {
-            afterJitter(POLL_NANOS, this::write);
+            afterJitter(REPEAT_NANOS, this::write);
         }
     }
 
@@ -162,13 +162,13 @@
             case LogService.ReadResult.Failed f -> {
                 parts.counters().count(Event.LOG_FAILED);
                 // A node that others have found needs no registered members.
-                afterJitter(host.receivedAny() ? POLL_NANOS : RETRY_NANOS, this::read);
+                afterJitter(host.receivedAny() ? REPEAT_NANOS : RETRY_NANOS, this::read);
             }
         }
     }
 
     private void readComplete() {
-        afterJitter(POLL_NANOS, this::readAgain);
+        afterJitter(REPEAT_NANOS, this::readAgain);
         if (read) {
             return;
         }
@@ -190,7 +190,7 @@
         if (host.isFollower()) {
             read();
         } else {
-            afterJitter(POLL_NANOS, this::readAgain);
+            afterJitter(REPEAT_NANOS, this::readAgain);
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -51,13 +51,13 @@
     private final FollowDuty followDuty;
     private final PlanExchange planExchange;
     private final TeamLimiter limiter;
-    private final Debounce refreshing;
+    private final Debounce refresh;
     private volatile boolean selfDraining;
 
     private NodeCore(CoreParts parts, CoreSettings settings) {
         this.parts = parts;
         this.settings = settings;
-        this.refreshing = Debounce.of(parts.timers(), REFRESH_DEBOUNCE_NANOS, this::refreshNow);
+        this.refresh = Debounce.of(parts.timers(), REFRESH_DEBOUNCE_NANOS, this::refreshNow);
         OwnerView view = OwnerView.of(table, parts.timers(), settings.owner(), this::leaving);
         this.quarantine = Quarantine.create(
                 parts.timers(), QuarantineSettings.standard(), parts.counters(), parts.decisions(), duties);
@@ -102,7 +102,7 @@
      */
     public static NodeCore start(CoreParts parts, CoreSettings settings) {
         NodeCore core = new NodeCore(parts, settings);
-        core.refreshing.request();
+        core.refresh.request();
         core.memberLog.start(settings.rewriteNanos(), settings.startSpreadNanos());
         PauseDetector.start(parts.timers(), core::paused);
         return core;
@@ -119,7 +119,7 @@
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
         engine.attach(record.upstreamId(), service, port);
         memberLog.write();
-        refreshing.request();
+        refresh.request();
     }
 
     /**
@@ -134,14 +134,14 @@
         gossip.renew();
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
         engine.attach(record.upstreamId(), service, port, SlotLimit.of(slots));
-        refreshing.request();
+        refresh.request();
     }
 
     /** Detaches the upstream, which is gone; the node goes on without one. */
     public void withdraw() {
         engine.server().detach();
         gossip.change(selfDraining ? MemberState.DRAINING : MemberState.ALIVE, "");
-        refreshing.request();
+        refresh.request();
     }
 
     /** Informs other nodes that this one has new routes. */
@@ -316,7 +316,7 @@
         if (gossip != null) {
             gossip.pushConfig();
         }
-        refreshing.request();
+        refresh.request();
     }
 
     /** Updates the router, the local upstream and the limiter from the members and the configuration. */
@@ -344,7 +344,7 @@
     /** Gives the upstream its new id: others may have assigned the keys of the old id to another owner. */
     private void renameUpstream(MemberRecord renewed) {
         upstream().ifPresent(u -> engine.server().attach(u.renamed(renewed.upstreamId())));
-        refreshing.request();
+        refresh.request();
     }
 
     /**
@@ -353,7 +353,7 @@
     private final class GossipListener implements Gossip.Listener {
         @Override
         public void membersChanged() {
-            refreshing.request();
+            refresh.request();
         }
 
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/RegisteredNode.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/RegisteredNode.java
@@ -10,10 +10,10 @@
  * The node as registered on the members' stream.
  *
  * @param gossip the node's gossip
- * @param follow decides whether the node reads the operators' record
+ * @param followDuty decides whether the node reads the operators' record
  * @param quarantine restores requests that were quarantined before
  */
-record RegisteredNode(Gossip gossip, FollowDuty follow, Quarantine quarantine) implements MemberLog.Host {
+record RegisteredNode(Gossip gossip, FollowDuty followDuty, Quarantine quarantine) implements MemberLog.Host {
     @Override
     public MemberRecord self() {
         return gossip.self();
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public void restore(QuarantinedRequest held) {
-        quarantine.restore(held);
+    public void restore(QuarantinedRequest quarantined) {
+        quarantine.restore(quarantined);
     }
 
     @Override
@@ -36,11 +36,11 @@
 
     @Override
     public boolean isFollower() {
-        return follow.isFollower();
+        return followDuty.isFollower();
     }
 
     @Override
     public void registered() {
-        follow.registered();
+        followDuty.registered();
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -39,7 +39,7 @@
     private final BooleanSupplier routesKnown;
     private final long startNanos;
     private final AtomicLong newestFollowerNanos;
-    private volatile boolean setFollowing;
+    private volatile boolean following;
     private volatile boolean registered;
     private volatile Ranking cachedRanking;
     private long lastTurn = NO_TURN;
@@ -49,12 +49,12 @@
             FollowSettings settings,
             Supplier<MemberRecord> self,
             MemberTable table,
-            BooleanSupplier equipped) {
+            BooleanSupplier routesKnown) {
         this.timers = timers;
         this.settings = settings;
         this.self = self;
         this.table = table;
-        this.routesKnown = equipped;
+        this.routesKnown = routesKnown;
         this.startNanos = timers.nanos();
         this.newestFollowerNanos = new AtomicLong(startNanos - NEVER_MILLIS * NANOS_PER_MILLI);
     }
@@ -66,7 +66,7 @@
      * @param settings how many nodes follow, and when others stand in
      * @param self this node's record
      * @param table the members
-     * @param equipped returns whether this node knows the routes
+     * @param routesKnown returns whether this node knows the routes
      * @return the duty
      */
     public static FollowDuty of(
@@ -74,8 +74,8 @@
             FollowSettings settings,
             Supplier<MemberRecord> self,
             MemberTable table,
-            BooleanSupplier equipped) {
-        return new FollowDuty(timers, settings, self, table, equipped);
+            BooleanSupplier routesKnown) {
+        return new FollowDuty(timers, settings, self, table, routesKnown);
     }
 
     /**
@@ -119,12 +119,12 @@
             return true;
         }
         long timeout = routesKnown.getAsBoolean() ? settings.timeoutNanos() : settings.firstTimeoutNanos();
-        long over = Math.min(now - newestFollowerNanos.get(), now - startNanos) - timeout;
-        if (setFollowing || over < 0) {
+        long overdue = Math.min(now - newestFollowerNanos.get(), now - startNanos) - timeout;
+        if (following || overdue < 0) {
             lastTurn = NO_TURN;
             return false;
         }
-        long turn = over / settings.turnNanos();
+        long turn = overdue / settings.turnNanos();
         if (turn == lastTurn) {
             return false;
         }
@@ -148,7 +148,7 @@
         if (now) {
             recordFollower(timers.nanos());
         }
-        setFollowing = now;
+        following = now;
     }
 
     /**
@@ -166,7 +166,7 @@
      * @return the age in milliseconds, at most {@link #NEVER_MILLIS}
      */
     public int ageMillis() {
-        if (setFollowing) {
+        if (following) {
             return 0;
         }
         long millis = (timers.nanos() - newestFollowerNanos.get()) / NANOS_PER_MILLI;
@@ -175,14 +175,14 @@
 
     private boolean ranksAmongFollowers(MemberRecord me) {
         List<MemberRecord> present = table.present();
-        Set<Location> places = new HashSet<>(Set.of(me.place()));
-        present.forEach(r -> places.add(r.place()));
+        Set<Location> locations = new HashSet<>(Set.of(me.place()));
+        present.forEach(r -> locations.add(r.place()));
         int rank = MemberRank.of(
                 me.nodeId(),
                 FOLLOWER_DUTY,
                 present,
                 r -> r.state() == MemberState.ALIVE && r.place().equals(me.place()));
-        return rank < Math.max(1, settings.followers() / places.size());
+        return rank < Math.max(1, settings.followers() / locations.size());
     }
 
     private boolean settled() {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/AntiEntropy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/AntiEntropy.java
@@ -9,7 +9,7 @@
 
 /**
  * Finds and repairs differences between this node's member table and another node's, which arise when pushes are lost.
- * Runs inside the serial runner of {@link Gossip}.
+ * Runs on the serial executor of {@link Gossip}.
  */
 final class AntiEntropy {
     /** The minimum time between two comparisons that this node requests. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/CrashGossip.java
@@ -17,7 +17,7 @@
 /**
  * Spreads reports of requests that were in flight when an upstream crashed. Each node forwards a report that is new to
  * it once, to a few others, within milliseconds. The gossip rounds compare hashes and repair what the pushes missed,
- * also at nodes that were partitioned, paused or not yet started. Runs inside the serial runner of {@link Gossip}.
+ * also at nodes that were partitioned, paused or not yet started. Runs on the serial executor of {@link Gossip}.
  */
 final class CrashGossip {
     private static final long NANOS_PER_MILLI = 1_000_000L;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -13,7 +13,7 @@
 
 /**
  * Detects nodes that no longer answer: checks a node directly, then through other nodes, suspects it, and declares it
- * dead unless the node refutes the suspicion. Runs inside the serial runner of {@link Gossip}.
+ * dead unless the node refutes the suspicion. Runs on the serial executor of {@link Gossip}.
  */
 final class FailureDetector {
     private static final int INDIRECT_PROBES = 2;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -17,7 +17,7 @@
 /**
  * Spreads what the nodes know of each other and of the configuration, and detects nodes that no longer answer. Updates
  * are pushed at once to a few nodes; rounds at a fixed period check one node each and repair what the pushes missed.
- * Everything runs inside a serial runner.
+ * Everything runs on a serial executor.
  */
 public final class Gossip {
     private static final long NO_TICKET = 0;
@@ -175,7 +175,7 @@
             case GossipMessage.Rumor m -> {
                 m.updates().forEach(this::learn);
                 if (m.ticket() != NO_TICKET) {
-                    send(from, new GossipMessage.Ack(self().nodeId(), m.ticket(), view(), rumors.next()));
+                    send(from, new GossipMessage.Ack(self().nodeId(), m.ticket(), summary(), rumors.next()));
                 } else if (m.summary().planVersion() < listener.planVersion()) {
                     // A starting node gets its routes after one round trip, not at the next round 250 ms later.
                     send(from, rumor(NO_TICKET));
@@ -251,10 +251,10 @@
     }
 
     private GossipMessage.Rumor rumor(long ticket) {
-        return new GossipMessage.Rumor(self().nodeId(), ticket, view(), rumors.next());
+        return new GossipMessage.Rumor(self().nodeId(), ticket, summary(), rumors.next());
     }
 
-    private GossipMessage.Summary view() {
+    private GossipMessage.Summary summary() {
         return new GossipMessage.Summary(
                 table.digest(),
                 listener.config().map(ConfigState::version).orElse(-1L),
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
@@ -13,12 +13,12 @@
     private static final int REMOTE_ONE_IN = 4;
 
     private final String self;
-    private final Location place;
+    private final Location location;
     private final RandomGenerator random;
 
-    PeerSelector(String self, Location place, RandomGenerator random) {
+    PeerSelector(String self, Location location, RandomGenerator random) {
         this.self = self;
-        this.place = place;
+        this.location = location;
         this.random = random;
     }
 
@@ -28,7 +28,7 @@
         List<MemberRecord> far = new ArrayList<>();
         for (MemberRecord r : present) {
             if (!r.nodeId().equals(self)) {
-                (r.place().equals(place) ? near : far).add(r);
+                (r.place().equals(location) ? near : far).add(r);
             }
         }
         List<MemberRecord> drawn = new ArrayList<>(count);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/RumorQueue.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/RumorQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * The members that changed recently, each sent a few more times. Runs inside the serial runner of {@link Gossip}.
+ * The members that changed recently, each sent a few more times. Runs on the serial executor of {@link Gossip}.
  */
 final class RumorQueue {
     /** Records per datagram: eight stay below the size at which datagrams are fragmented. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/Demand.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/Demand.java
@@ -6,6 +6,6 @@
  * @param leased permits that the node still has on lease
  * @param returned permits that the node returns unused
  * @param needed permits for waiting requests
- * @param wanted all permits that the node would like, including those needed
+ * @param requested all permits that the node would like, including those needed
  */
-record Demand(int leased, int returned, int needed, int wanted) {}
+record Demand(int leased, int returned, int needed, int requested) {}
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
@@ -53,7 +53,7 @@
         }
         Optional<RateLimit> limit = team.get().limit();
         if (limit.isEmpty()) {
-            return Optional.of(new Allocation(demand.wanted(), 0));
+            return Optional.of(new Allocation(demand.requested(), 0));
         }
         PermitBucket bucket = buckets.computeIfAbsent(name, t -> new PermitBucket(settings, directory.sinceNanos()));
         synchronized (bucket) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitBucket.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitBucket.java
@@ -89,8 +89,8 @@
 
     private int grant(Demand demand) {
         int free = (int) Math.max(0, Math.floor(level));
-        int ahead = (int) (free * PREFETCH_SHARE);
-        return Math.min(demand.wanted(), Math.max(ahead, Math.min(demand.needed(), free)));
+        int prefetch = (int) (free * PREFETCH_SHARE);
+        return Math.min(demand.requested(), Math.max(prefetch, Math.min(demand.needed(), free)));
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -128,7 +128,7 @@
                         m.team(),
                         allocation.isPresent(),
                         allocation.map(Allocation::granted).orElse(0),
-                        allocation.map(Allocation::nextPermitMillis).orElse(0L)));
+                        allocation.map(Allocation::availableAfterMillis).orElse(0L)));
             }
             case Message.QuotaReply m ->
                 onAllocation(
@@ -170,7 +170,7 @@
             return;
         }
         Message.QuotaRequest request = new Message.QuotaRequest(
-                ticket, parts.self(), team, demand.leased(), demand.returned(), demand.needed(), demand.wanted());
+                ticket, parts.self(), team, demand.leased(), demand.returned(), demand.needed(), demand.requested());
         parts.sender().send(node.get(), request, () -> onAllocation(team, ticket, Optional.empty()));
     }
 
@@ -184,7 +184,8 @@
         List<AdmissionCallback> admitted;
         List<AdmissionCallback> refused = List.of();
         boolean waiting;
-        long nextPermitMillis = allocation.map(Allocation::nextPermitMillis).orElse(RETRY_NANOS / NANOS_PER_MILLI);
+        long availableAfterMillis =
+                allocation.map(Allocation::availableAfterMillis).orElse(RETRY_NANOS / NANOS_PER_MILLI);
         synchronized (p) {
             if (!p.isPending(ticket)) {
                 return;
@@ -192,22 +193,22 @@
             p.clearPending();
             p.add(allocation.map(Allocation::granted).orElse(0), now);
             admitted = p.admitWaiting();
-            boolean soon = nextPermitMillis * NANOS_PER_MILLI <= settings.maxWaitNanos() || allocation.isEmpty();
+            boolean soon = availableAfterMillis * NANOS_PER_MILLI <= settings.maxWaitNanos() || allocation.isEmpty();
             if (p.hasWaiting() && (!soon || p.waitedNanos(now) > settings.allocatorTimeoutNanos())) {
                 refused = p.removeWaiting();
                 p.block(
                         allocation.isEmpty()
                                 ? 0
-                                : Math.min(settings.maxBlockNanos(), nextPermitMillis * NANOS_PER_MILLI),
+                                : Math.min(settings.maxBlockNanos(), availableAfterMillis * NANOS_PER_MILLI),
                         now);
             }
             waiting = p.hasWaiting();
         }
         admitted.forEach(AdmissionCallback::admitted);
-        Refusal refusal = allocation.isPresent() ? rateLimited(nextPermitMillis) : uncertain();
+        Refusal refusal = allocation.isPresent() ? rateLimited(availableAfterMillis) : uncertain();
         refused.forEach(t -> t.refused(refusal));
         if (waiting) {
-            parts.timers().after(nextPermitMillis * NANOS_PER_MILLI, () -> requestPermits(team, p));
+            parts.timers().after(availableAfterMillis * NANOS_PER_MILLI, () -> requestPermits(team, p));
         }
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -170,7 +170,7 @@
         start();
         clock.advance(SECOND_NANOS);
         assertEquals(0, log.appends);
-        node.reader = true;
+        node.follower = true;
         clock.advance(SECOND_NANOS);
         assertEquals(1, log.appends);
     }
@@ -272,7 +272,7 @@
     /** A node whose state the test sets. */
     private final class Node implements MemberLog.Host {
         private boolean receivedAny;
-        private boolean reader;
+        private boolean follower;
         private int registrations;
 
         @Override
@@ -297,7 +297,7 @@
 
         @Override
         public boolean isFollower() {
-            return reader;
+            return follower;
         }
 
         @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/NodeCoreStartTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void toleratesTimersThatFireBeforeTheConstructorReturns() {
-        Location place = new Location("r", "d");
-        MemberRecord self = new MemberRecord("n", 1, 0, MemberState.ALIVE, HERE, HERE, place, "", 0, 0);
+        Location location = new Location("r", "d");
+        MemberRecord self = new MemberRecord("n", 1, 0, MemberState.ALIVE, HERE, HERE, location, "", 0, 0);
         NodeCore.start(
                 new CoreParts(
                         self,
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
@@ -194,30 +194,30 @@
     private final class EventRecorder implements UpstreamMonitor.Listener {
         @Override
         public void arrived(UpstreamHeartbeat beat) {
-            note("arrived ", beat);
+            record("arrived ", beat);
         }
 
         @Override
         public void leaving(UpstreamHeartbeat beat) {
-            note("leaving ", beat);
+            record("leaving ", beat);
         }
 
         @Override
         public void silent(UpstreamHeartbeat beat, long silentNanos) {
-            note("silent ", beat);
+            record("silent ", beat);
         }
 
         @Override
         public void absent(UpstreamHeartbeat beat) {
-            note("absent ", beat);
+            record("absent ", beat);
         }
 
         @Override
         public void late(UpstreamHeartbeat beat) {
-            note("late ", beat);
+            record("late ", beat);
         }
 
-        private void note(String what, UpstreamHeartbeat beat) {
+        private void record(String what, UpstreamHeartbeat beat) {
             OptionalLong startedMillis = beat.start().startedMillis();
             events.add(what + beat.id() + (startedMillis.isPresent() ? "@" + startedMillis.getAsLong() : ""));
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -22,7 +22,7 @@
     private static final long CHECK_NANOS = 100 * MILLI;
     private static final long ROUND_NANOS = 250 * MILLI;
     private static final int SEEDS = 20;
-    private static final int PLACES = 5;
+    private static final int MAX_LOCATIONS = 5;
 
     /** A change may take 3 s on a fleet of this size, of which spreading the update takes less than half a second. */
     private static final long MAX_UNFOLLOWED_NANOS = 2_500 * MILLI;
@@ -50,8 +50,8 @@
         assertEquals(6, followers(13, 1));
     }
 
-    private long followers(int nodes, int places) {
-        Fleet fleet = new Fleet(nodes, places, new SplittableRandom(1));
+    private long followers(int nodes, int locations) {
+        Fleet fleet = new Fleet(nodes, locations, new SplittableRandom(1));
         fleet.run(9_000);
         return fleet.nodes.stream().filter(n -> n.following).count();
     }
@@ -60,10 +60,10 @@
     void keepsAFollowerWhenAnyThirdOfTheNodesLosesTheStore() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, PLACES + 1), random);
+            Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, MAX_LOCATIONS + 1), random);
             fleet.run(5_000);
             for (int i = 0; i < 4; i++) {
-                fleet.nodes.forEach(n -> n.cut = random.nextInt(3) == 0);
+                fleet.nodes.forEach(n -> n.storeLost = random.nextInt(3) == 0);
                 assertTrue(fleet.longestUnfollowed(6_000) <= MAX_UNFOLLOWED_NANOS, "seed " + seed);
             }
         }
@@ -73,17 +73,17 @@
     void findsAFollowerWhenOnlyTheFollowersLoseTheStore() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, PLACES + 1), random);
+            Fleet fleet = new Fleet(random.nextInt(13, 97), random.nextInt(3, MAX_LOCATIONS + 1), random);
             fleet.run(5_000);
-            fleet.nodes.forEach(n -> n.cut = n.following);
+            fleet.nodes.forEach(n -> n.storeLost = n.following);
             assertTrue(fleet.longestUnfollowed(10_000) <= MAX_UNFOLLOWED_NANOS, "seed " + seed);
         }
     }
 
     @Test
     void limitsStoreRequestsDuringAnOutageWhateverTheFleetSize() {
-        Fleet small = new Fleet(30, PLACES, new SplittableRandom(1));
-        Fleet large = new Fleet(300, PLACES, new SplittableRandom(1));
+        Fleet small = new Fleet(30, MAX_LOCATIONS, new SplittableRandom(1));
+        Fleet large = new Fleet(300, MAX_LOCATIONS, new SplittableRandom(1));
         assertTrue(large.triesWithoutStore(9_000) <= small.triesWithoutStore(9_000) * 3 / 2);
     }
 
@@ -95,9 +95,9 @@
         assertFalse(fleet.nodes.getFirst().duty.isFollower());
     }
 
-    private static MemberRecord member(int i, int places, MemberState state) {
+    private static MemberRecord member(int i, int locations, MemberState state) {
         Endpoint at = new Endpoint("10.0.0." + i, 1);
-        return new MemberRecord("n" + i, 1, 0, state, at, at, new Location("r", "d" + i % places), "", 0, 0);
+        return new MemberRecord("n" + i, 1, 0, state, at, at, new Location("r", "d" + i % locations), "", 0, 0);
     }
 
     /** Nodes that know each other, exchange the age of the newest follower heartbeat, and may lose the store. */
@@ -105,14 +105,14 @@
         private final List<Node> nodes = new ArrayList<>();
         private final SplittableRandom random;
 
-        private Fleet(int size, int places, SplittableRandom random) {
+        private Fleet(int size, int locations, SplittableRandom random) {
             this.random = random;
             MemberTable table = MemberTable.empty();
             for (int i = 0; i < size; i++) {
-                table.merge(member(i, places, MemberState.ALIVE), clock.nanos());
+                table.merge(member(i, locations, MemberState.ALIVE), clock.nanos());
             }
             for (int i = 0; i < size; i++) {
-                nodes.add(new Node(i, places, table));
+                nodes.add(new Node(i, locations, table));
             }
             for (Node n : nodes) {
                 clock.after(random.nextLong(CHECK_NANOS), () -> clock.every(CHECK_NANOS, n::check));
@@ -136,7 +136,7 @@
             long unfollowed = 0;
             for (long t = 0; t < millis; t += 10) {
                 run(10);
-                boolean followed = nodes.stream().anyMatch(n -> n.following && !n.cut);
+                boolean followed = nodes.stream().anyMatch(n -> n.following && !n.storeLost);
                 unfollowed = followed ? 0 : unfollowed + 10 * MILLI;
                 longest = Math.max(longest, unfollowed);
             }
@@ -145,7 +145,7 @@
 
         private int triesWithoutStore(long millis) {
             run(5_000);
-            nodes.forEach(n -> n.cut = true);
+            nodes.forEach(n -> n.storeLost = true);
             nodes.forEach(n -> n.tries = 0);
             run(millis);
             return nodes.stream().mapToInt(n -> n.tries).sum();
@@ -156,23 +156,23 @@
     private final class Node {
         private final FollowDuty duty;
         private final int number;
-        private final int places;
+        private final int locations;
         private MemberState state = MemberState.ALIVE;
-        private boolean cut;
+        private boolean storeLost;
         private boolean following;
         private long until;
         private long notBefore;
         private int tries;
 
-        private Node(int number, int places, MemberTable table) {
+        private Node(int number, int locations, MemberTable table) {
             this.number = number;
-            this.places = places;
+            this.locations = locations;
             this.duty = FollowDuty.of(
-                    clock, FollowSettings.standard(), () -> member(number, places, state), table, () -> true);
+                    clock, FollowSettings.standard(), () -> member(number, locations, state), table, () -> true);
         }
 
         private void check() {
-            if (following && cut) {
+            if (following && storeLost) {
                 stop();
                 notBefore = clock.nanos() + 2_000 * MILLI;
             }
@@ -181,10 +181,10 @@
             }
             if (!following && clock.nanos() >= notBefore && duty.shouldStart()) {
                 tries++;
-                following = !cut;
+                following = !storeLost;
                 duty.setFollowing(following);
                 until = clock.nanos() + 6_000 * MILLI;
-                notBefore = clock.nanos() + (cut ? 2_000 * MILLI : 0);
+                notBefore = clock.nanos() + (storeLost ? 2_000 * MILLI : 0);
             }
         }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -121,9 +121,9 @@
         clock.advance(SECOND);
         quarantine.learn(new UpstreamCrash(RequestDigest.of(BAD), "u4", false, clock.nanos() - SECOND, "n7"));
         decisions.clear();
-        QuarantineStatus.Quarantined held =
+        QuarantineStatus.Quarantined quarantined =
                 assertInstanceOf(QuarantineStatus.Quarantined.class, quarantine.statusAtEntry(BAD));
-        Refusal refusal = quarantine.refusal(new RequestId(1, 2), held);
+        Refusal refusal = quarantine.refusal(new RequestId(1, 2), quarantined);
         assertEquals(new Refusal(RunState.NOT_RUN, RefusalReason.QUARANTINED, 79_001), refusal);
         assertEquals(
                 List.of(new Decision.QuarantineRefused(
@@ -167,10 +167,11 @@
     void restoresTheQuarantineAfterAllNodesRestarted() {
         recordThreeCrashes();
         clock.advance(5 * SECOND);
-        QuarantinedRequest held = quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow();
+        QuarantinedRequest quarantined =
+                quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow();
         clock.advance(5 * SECOND);
         Quarantine restarted = Quarantine.alone(clock);
-        restarted.restore(held);
+        restarted.restore(quarantined);
         assertQuarantined(10, restarted.statusAtEntry(BAD));
         quarantine.recordAnswer(BAD);
         restarted.restore(quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow());
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/PermitBucketTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/PermitBucketTest.java
@@ -46,13 +46,13 @@
     void leavesPermitsForOthersWhenFewRequestsWait() {
         Allocation prefetched = bucket.allocate("a", new Demand(0, 0, 1, 100), LIMIT, 1, 10 * SECOND);
         assertEquals(5, prefetched.granted());
-        assertEquals(0, prefetched.nextPermitMillis());
+        assertEquals(0, prefetched.availableAfterMillis());
     }
 
     @Test
     void spreadsRetriesOfRefusedRequests() {
-        long first = allocate("a", 0, 1, 0).nextPermitMillis();
-        long second = allocate("b", 0, 1, 0).nextPermitMillis();
+        long first = allocate("a", 0, 1, 0).availableAfterMillis();
+        long second = allocate("b", 0, 1, 0).availableAfterMillis();
         assertEquals(100, first);
         assertEquals(200, second);
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaFleet.java
@@ -204,10 +204,10 @@
         private final TeamLimiter limiter;
         private final Node responder;
 
-        private ReplyLink(Node asker, TeamLimiter limiter, Node answerer) {
-            this.requester = asker;
+        private ReplyLink(Node requester, TeamLimiter limiter, Node responder) {
+            this.requester = requester;
             this.limiter = limiter;
-            this.responder = answerer;
+            this.responder = responder;
         }
 
         @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaModelTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quota/QuotaModelTest.java
@@ -75,12 +75,12 @@
 
         private void play(Step step) {
             switch (step) {
-                case A_ASKS -> ask("a", a, true, true);
-                case A_QUESTION_LOST -> ask("a", a, false, false);
-                case A_ANSWER_LOST -> ask("a", a, true, false);
+                case A_ASKS -> requestPermits("a", a, true, true);
+                case A_QUESTION_LOST -> requestPermits("a", a, false, false);
+                case A_ANSWER_LOST -> requestPermits("a", a, true, false);
                 case A_USES_TWO -> useTwo(a);
                 case A_GIVES_BACK -> giveBack();
-                case B_ASKS -> ask("b", b, true, true);
+                case B_ASKS -> requestPermits("b", b, true, true);
                 case B_USES_TWO -> useTwo(b);
                 case TIME_PASSES -> now += SECOND / 4;
                 case LEASES_LAPSE -> now += settings.leaseNanos() + SECOND / 10;
@@ -88,7 +88,7 @@
             }
         }
 
-        private void ask(String node, LeasedPermits permits, boolean arrives, boolean answered) {
+        private void requestPermits(String node, LeasedPermits permits, boolean arrives, boolean answered) {
             Demand request = permits.request(++ticket, now);
             Demand demand = new Demand(request.leased(), request.returned(), 2, 2);
             if (arrives) {
