--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -115,7 +115,7 @@
             return beat.sequence() <= current.sequence();
         }
         // A start under another id that is older, or whose start time is unknown, must wait until the current start is
-        // silent. It is accepted then, since the clock of its machine may have been set back.
+        // silent. Such a start is accepted then, since the clock of its machine may have been set back.
         boolean mustYield = beat.id().equals(current.id()) || !silent();
         return mustYield && (beat.start().startedBefore(current.start()) || omitsStartTime(beat));
     }
@@ -174,14 +174,14 @@
         /**
          * Called when the upstream must get no more work; it finishes its work in progress.
          *
-         * @param beat its newest heartbeat
+         * @param beat the newest heartbeat of the upstream
          */
         void leaving(UpstreamHeartbeat beat);
 
         /**
          * Called when no heartbeat of the upstream was received for too long.
          *
-         * @param beat its newest heartbeat
+         * @param beat the newest heartbeat of the upstream
          * @param silentNanos for how long, in nanoseconds
          */
         void silent(UpstreamHeartbeat beat, long silentNanos);
@@ -189,7 +189,7 @@
         /**
          * Called when nothing listens any more at the address of the upstream.
          *
-         * @param beat its newest heartbeat
+         * @param beat the newest heartbeat of the upstream
          */
         void absent(UpstreamHeartbeat beat);
 
