--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -74,7 +74,7 @@
         }
         switch (view.of(local, key)) {
             case Ownership.OwnedElsewhere e -> callback.accept(new Outcome.OwnedElsewhere());
-            case Ownership.InDoubt u -> callback.accept(new Outcome.Uncertain());
+            case Ownership.InDoubt u -> callback.accept(new Outcome.InDoubt());
             case Ownership.Owned o ->
                 queryAll(o, key, local, certain -> callback.accept(claimed(local, key, fingerprint, certain)));
         }
@@ -84,7 +84,7 @@
         if (certain || local.keys().contains(key)) {
             return new Outcome.Owned(local.keys().claim(key, fingerprint, timers.nanos()));
         }
-        return new Outcome.Uncertain();
+        return new Outcome.InDoubt();
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
@@ -33,7 +33,7 @@
         record OwnedElsewhere() implements Outcome {}
 
         /** Ownership is in doubt: an earlier attempt may have run on a node that is gone. */
-        record Uncertain() implements Outcome {}
+        record InDoubt() implements Outcome {}
     }
 
     /**
@@ -41,7 +41,7 @@
      *
      * @return the claims
      */
-    static KeyClaims alone() {
+    static KeyClaims unshared() {
         return (local, key, fingerprint, callback) ->
                 callback.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, local.now())));
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ReattachedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ReattachedUpstreamTest.java
@@ -29,7 +29,7 @@
                     Ledger.disabled(),
                     DecisionLog.none(),
                     Quarantine.alone(clock),
-                    KeyClaims.alone(),
+                    KeyClaims.unshared(),
                     (link, message) -> {},
                     (link, message) -> {},
                     (link, message) -> {}),
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -55,7 +55,7 @@
     @Test
     void doesNotRunAKeyWhenTheLeavingOwnerHasRestarted() {
         claimAfterQuerying(upstream(record("b", 2)));
-        assertEquals(new KeyClaims.Outcome.Uncertain(), outcome.get());
+        assertEquals(new KeyClaims.Outcome.InDoubt(), outcome.get());
     }
 
     private void claimAfterQuerying(LocalUpstream formerOwner) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -48,7 +48,7 @@
                     counters,
                     Ledger.reportingTo(breaches::add),
                     ServiceLevels.empty(),
-                    KeyClaims.alone(),
+                    KeyClaims.unshared(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             ServeSettings.standard());
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -44,7 +44,7 @@
                     Counters.create(),
                     Ledger.disabled(),
                     ServiceLevels.empty(),
-                    KeyClaims.alone(),
+                    KeyClaims.unshared(),
                     DecisionLog.none(),
                     Quarantine.alone(clock)),
             ServeSettings.standard());
