--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -343,7 +343,7 @@
 
     /** Gives the upstream its new id: others may have assigned the keys of the old id to another owner. */
     private void renameUpstream(MemberRecord renewed) {
-        upstream().ifPresent(u -> engine.server().attach(u.renamed(renewed.upstreamId())));
+        upstream().ifPresent(u -> engine.server().attach(u.withId(renewed.upstreamId())));
         refresh.request();
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -90,7 +90,7 @@
      */
     @Test
     void aRefusalOfACallForTheFormerIdIsReportedAgain() {
-        server.attach(local.renamed("u1-renamed"));
+        server.attach(local.withId("u1-renamed"));
         Message.Call refused = call("u1");
         server.received(link, refused);
         server.received(fresh, inquiry(refused));
