--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -89,7 +89,7 @@
      * @param timers the clock
      * @return the quarantine
      */
-    public static Quarantine alone(TimerService timers) {
+    public static Quarantine standalone(TimerService timers) {
         return create(
                 timers,
                 QuarantineSettings.standard(),
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
@@ -39,7 +39,7 @@
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
     private final List<String> outcomes = new ArrayList<>();
-    private final Engine entry = Engines.create(net, "entry", 1, entryClock, Quarantine.alone(entryClock));
+    private final Engine entry = Engines.create(net, "entry", 1, entryClock, Quarantine.standalone(entryClock));
 
     ForgottenAttemptTest() {
         entryClock.advance(MILLI);
@@ -93,7 +93,7 @@
     }
 
     private void start(Endpoint server, long incarnation) {
-        Engine engine = Engines.create(net, server.host(), incarnation, serverClock, Quarantine.alone(serverClock));
+        Engine engine = Engines.create(net, server.host(), incarnation, serverClock, Quarantine.standalone(serverClock));
         engine.attach(server.host(), "s", (handOver, listener) -> {
             runs.add(server);
             running.put(server, listener);
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ReattachedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ReattachedUpstreamTest.java
@@ -28,7 +28,7 @@
                     Counters.create(),
                     Ledger.disabled(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock),
+                    Quarantine.standalone(clock),
                     KeyClaims.unshared(),
                     (link, message) -> {},
                     (link, message) -> {},
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
@@ -30,7 +30,7 @@
 
     private final MemoryNet net = new MemoryNet();
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
-    private final Quarantine quarantine = Quarantine.alone(clock);
+    private final Quarantine quarantine = Quarantine.standalone(clock);
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final Map<Endpoint, LocalUpstream> locals = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
@@ -195,7 +195,7 @@
 
     /** Returns an entry node that knows of no crashes. */
     private Engine uninformedEntry() {
-        Engine late = engine("late", 9, Quarantine.alone(clock));
+        Engine late = engine("late", 9, Quarantine.standalone(clock));
         route(late);
         return late;
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -137,7 +137,7 @@
 
     @Test
     void hasTheSameFingerprintWhateverTheOrderOfReports() {
-        Quarantine other = Quarantine.alone(clock);
+        Quarantine other = Quarantine.standalone(clock);
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordAnswer(BAD);
         recordThreeCrashes();
@@ -170,7 +170,7 @@
         QuarantinedRequest quarantined =
                 quarantine.logRecord(RequestDigest.of(BAD)).orElseThrow();
         clock.advance(5 * SECOND);
-        Quarantine restarted = Quarantine.alone(clock);
+        Quarantine restarted = Quarantine.standalone(clock);
         restarted.restore(quarantined);
         assertQuarantined(10, restarted.statusAtEntry(BAD));
         quarantine.recordAnswer(BAD);
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -50,7 +50,7 @@
                     ServiceLevels.empty(),
                     KeyClaims.unshared(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             ServeSettings.standard());
     private final LocalUpstream local = LocalUpstream.of(
             "u1",
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/RepeatedInquiryTest.java
@@ -46,7 +46,7 @@
                     ServiceLevels.empty(),
                     KeyClaims.unshared(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             ServeSettings.standard());
     private final LocalUpstream local = LocalUpstream.of(
             "u1",
