--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -379,7 +379,7 @@
 
         @Override
         public int followerAgeMillis() {
-            return followDuty.ageMillis();
+            return followDuty.followerAgeMillis();
         }
 
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -165,7 +165,7 @@
      *
      * @return the age in milliseconds, at most {@link #NEVER_MILLIS}
      */
-    public int ageMillis() {
+    public int followerAgeMillis() {
         if (following) {
             return 0;
         }
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -39,7 +39,7 @@
     @Test
     void reportsNoFollowerBeforeOneIsKnown() {
         Fleet fleet = new Fleet(1, 1, new SplittableRandom(1));
-        assertEquals(FollowDuty.NEVER_MILLIS, fleet.nodes.getFirst().duty.ageMillis());
+        assertEquals(FollowDuty.NEVER_MILLIS, fleet.nodes.getFirst().duty.followerAgeMillis());
     }
 
     @Test
@@ -122,8 +122,8 @@
 
         private void gossipWithOne(Node node) {
             Node other = nodes.get(random.nextInt(nodes.size()));
-            int age = node.duty.ageMillis();
-            node.duty.followerAgeReceived(other.duty.ageMillis());
+            int age = node.duty.followerAgeMillis();
+            node.duty.followerAgeReceived(other.duty.followerAgeMillis());
             other.duty.followerAgeReceived(age);
         }
 
