--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -114,7 +114,7 @@
      * @param service the service that the upstream serves
      * @param port sends calls to the upstream
      */
-    public void announce(String service, UpstreamPort port) {
+    public void attachUpstream(String service, UpstreamPort port) {
         selfDraining = false;
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
         engine.attach(record.upstreamId(), service, port);
@@ -129,7 +129,7 @@
      * @param port sends calls to the upstream
      * @param slots how many calls the upstream runs concurrently
      */
-    public void announce(String service, UpstreamPort port, int slots) {
+    public void attachUpstream(String service, UpstreamPort port, int slots) {
         selfDraining = false;
         gossip.renew();
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
@@ -138,7 +138,7 @@
     }
 
     /** Detaches the upstream, which is gone; the node goes on without one. */
-    public void withdraw() {
+    public void detachUpstream() {
         engine.server().detach();
         gossip.change(selfDraining ? MemberState.DRAINING : MemberState.ALIVE, "");
         refresh.request();
