--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -56,7 +56,7 @@
      *
      * @param gone the start that is over; without a start time, the newest known under the id
      */
-    public void left(UpstreamStart gone) {
+    public void shutdownAnnounced(UpstreamStart gone) {
         serial.run(() -> finish(gone));
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
@@ -39,7 +39,7 @@
         monitor.heartbeat(beat("a", 1, false));
         monitor.heartbeat(beat("a", 2, true));
         monitor.heartbeat(beat("a", 3, true));
-        monitor.left(start("a"));
+        monitor.shutdownAnnounced(start("a"));
         monitor.heartbeat(beat("a", 4, false));
         assertEquals(List.of("arrived a", "leaving a", "late a"), events);
     }
@@ -47,8 +47,8 @@
     @Test
     void acceptsAShutdownNoticeWithoutALeavingHeartbeat() {
         monitor.heartbeat(beat("a", 1, false));
-        monitor.left(start("a"));
-        monitor.left(start("other"));
+        monitor.shutdownAnnounced(start("a"));
+        monitor.shutdownAnnounced(start("other"));
         assertEquals(List.of("arrived a", "leaving a"), events);
     }
 
@@ -108,7 +108,7 @@
     @Test
     void acceptsALaterStartAfterAShutdownNoticeUnderTheSameId() {
         monitor.heartbeat(beat("a", 100, 7, false));
-        monitor.left(start("a"));
+        monitor.shutdownAnnounced(start("a"));
         monitor.heartbeat(beat("a", 100, 8, false));
         monitor.heartbeat(beat("a", 200, 1, false));
         assertEquals(List.of("arrived a@100", "leaving a@100", "late a@100", "arrived a@200"), events);
@@ -117,7 +117,7 @@
     @Test
     void ignoresAShutdownNoticeOfAnEarlierStart() {
         monitor.heartbeat(beat("a", 200, 1, false));
-        monitor.left(start("a", 100));
+        monitor.shutdownAnnounced(start("a", 100));
         monitor.heartbeat(beat("a", 200, 2, false));
         assertEquals(List.of("arrived a@200"), events);
     }
@@ -154,7 +154,7 @@
 
     @Test
     void ignoresHeartbeatsOfAnUnknownUpstreamForAWhileAfterItsShutdownNotice() {
-        monitor.left(start("a"));
+        monitor.shutdownAnnounced(start("a"));
         monitor.heartbeat(beat("a", 100, 7, false));
         clock.advance(2 * SILENT_NANOS);
         monitor.heartbeat(beat("a", 100, 8, false));
@@ -164,7 +164,7 @@
 
     @Test
     void acceptsALaterStartLongAfterAnUnknownUpstreamsShutdownNotice() {
-        monitor.left(start("a"));
+        monitor.shutdownAnnounced(start("a"));
         clock.advance(2 * SILENT_NANOS);
         monitor.heartbeat(beat("a", 100, 1, false));
         assertEquals(List.of("arrived a@100"), events);
