--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
@@ -78,7 +78,7 @@
             }
         }
         table.values().removeIf(e -> !e.compared() && nowNanos - e.since() > retentionNanos);
-        departures.values().removeIf(d -> nowNanos - d.since() > retentionNanos);
+        departures.values().removeIf(d -> nowNanos - d.learnedNanos() > retentionNanos);
     }
 
     /**
@@ -230,9 +230,9 @@
      * @param upstreamId its id
      * @param service the service it served
      * @param planned whether the upstream stopped as planned
-     * @param since when this node learned of it, in nanoseconds
+     * @param learnedNanos when this node learned of it, in nanoseconds
      */
-    public record Departure(String upstreamId, String service, boolean planned, long since) {}
+    public record Departure(String upstreamId, String service, boolean planned, long learnedNanos) {}
 
     /**
      * A member, and when it last joined or left.
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -141,9 +141,9 @@
         for (MemberTable.Departure d : table.departures()) {
             boolean relevant = d.service().equals(service)
                     && !d.upstreamId().equals(ownId)
-                    && now - d.since() < settings.keyRetentionNanos()
+                    && now - d.learnedNanos() < settings.keyRetentionNanos()
                     && !(d.planned() && keysTransferred.contains(d.upstreamId()));
-            if (relevant && !createdAfter(key, d.since())) {
+            if (relevant && !createdAfter(key, d.learnedNanos())) {
                 return true;
             }
         }
