--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -268,7 +268,7 @@
         return new EngineParts(
                 parts.self().nodeId(),
                 parts.self().incarnation(),
-                parts.self().place(),
+                parts.self().location(),
                 parts.timers(),
                 parts.transport(),
                 parts.random(),
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -175,13 +175,13 @@
 
     private boolean ranksAmongFollowers(MemberRecord me) {
         List<MemberRecord> present = table.present();
-        Set<Location> locations = new HashSet<>(Set.of(me.place()));
-        present.forEach(r -> locations.add(r.place()));
+        Set<Location> locations = new HashSet<>(Set.of(me.location()));
+        present.forEach(r -> locations.add(r.location()));
         int rank = MemberRank.of(
                 me.nodeId(),
                 FOLLOWER_DUTY,
                 present,
-                r -> r.state() == MemberState.ALIVE && r.place().equals(me.place()));
+                r -> r.state() == MemberState.ALIVE && r.location().equals(me.location()));
         return rank < Math.max(1, settings.followers() / locations.size());
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -114,7 +114,7 @@
      * region, a failed node can't be told from a network partition, and a partitioned node goes on and owns its keys.
      */
     private boolean sameRegion(MemberRecord other) {
-        return other.place().region().equals(host.self().place().region());
+        return other.location().region().equals(host.self().location().region());
     }
 
     private void declareDead(MemberRecord suspected) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -49,7 +49,7 @@
         this.listener = listener;
         this.table = parts.table();
         this.self = new SelfRecord(start, timers);
-        this.peers = new PeerSelector(start.nodeId(), start.place(), parts.random());
+        this.peers = new PeerSelector(start.nodeId(), start.location(), parts.random());
         this.detector = new FailureDetector(timers, settings, serial, table, peers, new Host());
         this.antiEntropy = new AntiEntropy(start.nodeId(), timers, table, this::send);
         this.rumors = new RumorQueue(table);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -16,7 +16,7 @@
  * @param state the node's state
  * @param endpoint where the node listens for other nodes
  * @param control where the node listens for operators
- * @param place the node's region and data centre
+ * @param location the node's region and data centre
  * @param service the service of the colocated upstream, empty if there is none
  * @param changedMillis when the record was created, in milliseconds since the epoch; shows how long a member is gone
  * @param epoch incremented by the node when it had been declared dead and came back, so that its upstream gets a new id
@@ -28,7 +28,7 @@
         MemberState state,
         Endpoint endpoint,
         Endpoint control,
-        Location place,
+        Location location,
         String service,
         long changedMillis,
         int epoch) {
@@ -57,7 +57,7 @@
      */
     public MemberRecord withState(MemberState newState, long nowMillis) {
         return new MemberRecord(
-                nodeId, incarnation, version, newState, endpoint, control, place, service, nowMillis, epoch);
+                nodeId, incarnation, version, newState, endpoint, control, location, service, nowMillis, epoch);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @return the upstream, if there is one
      */
     public Optional<Upstream> upstream() {
-        return service.isEmpty() ? Optional.empty() : Optional.of(new Upstream(upstreamId(), service, endpoint, place));
+        return service.isEmpty() ? Optional.empty() : Optional.of(new Upstream(upstreamId(), service, endpoint, location));
     }
 
     /**
@@ -98,7 +98,7 @@
                 && state == o.state
                 && endpoint.equals(o.endpoint)
                 && control.equals(o.control)
-                && place.equals(o.place)
+                && location.equals(o.location)
                 && service.equals(o.service)
                 && changedMillis == o.changedMillis
                 && epoch == o.epoch;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerSelector.java
@@ -28,7 +28,7 @@
         List<MemberRecord> far = new ArrayList<>();
         for (MemberRecord r : present) {
             if (!r.nodeId().equals(self)) {
-                (r.place().equals(location) ? near : far).add(r);
+                (r.location().equals(location) ? near : far).add(r);
             }
         }
         List<MemberRecord> drawn = new ArrayList<>(count);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/SelfRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/SelfRecord.java
@@ -65,7 +65,7 @@
                 state,
                 r.endpoint(),
                 r.control(),
-                r.place(),
+                r.location(),
                 service,
                 timers.wallMillis(),
                 epoch);
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -151,7 +151,7 @@
                 service,
                 records.stream()
                         .map(r -> new ServiceView.Member(
-                                r.nodeId(), r.place().dataCentre(), r.state().accepting()))
+                                r.nodeId(), r.location().dataCentre(), r.state().accepting()))
                         .toList(),
                 averageLoad(service))));
         return views;
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -79,7 +79,7 @@
             m.put("service", r.service());
             m.put("address", r.endpoint().toString());
             m.put("control", r.control().toString());
-            m.put("dataCentre", r.place().dataCentre());
+            m.put("dataCentre", r.location().dataCentre());
         }
     }
 
