--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -106,7 +106,7 @@
     }
 
     private void onAppended(LogService.AppendResult result) {
-        boolean done = result instanceof LogService.AppendResult.At;
+        boolean done = result instanceof LogService.AppendResult.Appended;
         parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
         if (!done) {
             afterJitter(REPEAT_NANOS, this::write);
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/QuarantineLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/QuarantineLog.java
@@ -45,7 +45,7 @@
         }
         byte[] bytes = parts.quarantineCodec().encode(quarantined.get());
         parts.log().append(MemberLog.STREAM, quarantined.get().key(), bytes, result -> {
-            boolean done = result instanceof LogService.AppendResult.At;
+            boolean done = result instanceof LogService.AppendResult.Appended;
             parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
             if (!done) {
                 parts.timers().after(RETRY_NANOS, () -> write(request));
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -130,7 +130,7 @@
                 request.idempotent() ? "" : request.key(),
                 dispatcher.excludedUpstreams(request, tried));
         switch (parts.router().route(query, parts.timers().nanos())) {
-            case Choice.To to -> openAttempt(dispatcher.open(this, to.candidate()));
+            case Choice.Selected to -> openAttempt(dispatcher.open(this, to.candidate()));
             case Choice.Shed shed -> {
                 request.observer().serviceReached(request.service());
                 refuse(RefusalReason.SHED_EARLY);
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
@@ -9,7 +9,7 @@
      *
      * @param candidate the upstream
      */
-    record To(Candidate candidate) implements Choice {}
+    record Selected(Candidate candidate) implements Choice {}
 
     /**
      * Every upstream would refuse the call, or a service deeper in the call chain would.
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -257,7 +257,7 @@
         @Override
         public void append(String stream, String key, byte[] record, Consumer<AppendResult> callback) {
             appends++;
-            callback.accept(new AppendResult.At(0));
+            callback.accept(new AppendResult.Appended(0));
         }
 
         @Override
