--- a/kernel/src/test/java/org/verbenadyke/kernel/route/TrafficSplitterTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/TrafficSplitterTest.java
@@ -18,7 +18,7 @@
             TrafficSplitter splitter = TrafficSplitter.startingAt(start);
             int minor = 0;
             for (int n = 1; n <= 1_000; n++) {
-                minor += splitter.next(route).equals("b") ? 1 : 0;
+                minor += splitter.nextService(route).equals("b") ? 1 : 0;
                 assertTrue(Math.abs(minor - n / 10.0) <= MAX_DEVIATION, minor + " of " + n + " from " + start);
             }
         }
@@ -29,7 +29,7 @@
         Route route = split(new ServiceShare("a", 0), new ServiceShare("b", 3), new ServiceShare("c", 0));
         TrafficSplitter splitter = TrafficSplitter.startingAt(-1);
         for (int n = 0; n < 100; n++) {
-            assertEquals("b", splitter.next(route));
+            assertEquals("b", splitter.nextService(route));
         }
     }
 
