--- a/node/src/test/java/org/verbenadyke/node/ServerCrashTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerCrashTest.java
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public void ended(UpstreamPort.HandOver handOver) {
+        public void onCallEnded(UpstreamPort.HandOver handOver) {
             // No state is kept for a call.
         }
     }
