--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -104,7 +104,8 @@
         upstream.beside(node);
         server.run(node, upstream, world.nanos());
         nodeProcess.after(
-                announcedAfterNanos, () -> node.core().attachUpstream(server.spec().name(), upstream));
+                announcedAfterNanos,
+                () -> node.core().attachUpstream(server.spec().name(), upstream));
     }
 
     /** Kills a server's node and upstream. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
@@ -37,7 +37,10 @@
     boolean tailing() {
         MemberRecord me = self.get();
         int rank = MemberRank.of(
-                me.nodeId(), ConfigStore.STREAM, table.present(), r -> r.location().equals(me.location()));
+                me.nodeId(),
+                ConfigStore.STREAM,
+                table.present(),
+                r -> r.location().equals(me.location()));
         return rank < TAILERS_PER_DATA_CENTRE;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -75,7 +75,9 @@
      * @return the upstream, if there is one
      */
     public Optional<Upstream> upstream() {
-        return service.isEmpty() ? Optional.empty() : Optional.of(new Upstream(upstreamId(), service, endpoint, location));
+        return service.isEmpty()
+                ? Optional.empty()
+                : Optional.of(new Upstream(upstreamId(), service, endpoint, location));
     }
 
     /**
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
@@ -93,7 +93,8 @@
     }
 
     private void start(Endpoint server, long incarnation) {
-        Engine engine = Engines.create(net, server.host(), incarnation, serverClock, Quarantine.standalone(serverClock));
+        Engine engine =
+                Engines.create(net, server.host(), incarnation, serverClock, Quarantine.standalone(serverClock));
         engine.attach(server.host(), "s", (handOver, listener) -> {
             runs.add(server);
             running.put(server, listener);
