--- a/standins/src/main/java/org/verbenadyke/standins/log/LogSwitches.java
+++ b/standins/src/main/java/org/verbenadyke/standins/log/LogFaults.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What goes wrong in the stand-in log. Set while it runs.
+ * Faults injected into the stand-in log. Safe for many threads: faults change while the log serves requests.
  */
-final class LogSwitches {
+final class LogFaults {
     private volatile boolean outage;
     private volatile long slowMillis;
     private volatile int retention = Integer.MAX_VALUE;
-    private final AtomicInteger loseAnswers = new AtomicInteger();
+    private final AtomicInteger answersToLose = new AtomicInteger();
 
     boolean outage() {
         return outage;
@@ -31,16 +31,16 @@
         return retention;
     }
 
-    void retention(int most) {
-        retention = most;
+    void retention(int maxRecords) {
+        retention = maxRecords;
     }
 
     void loseAnswers(int count) {
-        loseAnswers.set(count);
+        answersToLose.set(count);
     }
 
-    /** Tells whether the answer to this append is to be lost. */
-    boolean loseThisAnswer() {
-        return loseAnswers.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
+    /** Returns whether the answer to the current append is to be lost, and counts that answer down if so. */
+    boolean consumeLostAnswer() {
+        return answersToLose.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/log/LogMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/log/LogMain.java
@@ -5,16 +5,16 @@
 import org.verbenadyke.node.settings.IniReader;
 
 /**
- * Runs the stand-in log as a process: the one argument is the address to listen on.
+ * Command line of the stand-in log service. The only argument is the address to listen on.
  */
 public final class LogMain {
     private LogMain() {}
 
     /**
-     * Runs the log.
+     * Runs the log service until the process is stopped.
      *
      * @param args IP:PORT
-     * @throws Exception when it can't listen
+     * @throws Exception if the address can't be bound
      */
     public static void main(String[] args) throws Exception {
         LogStandIn.start(IniReader.parseEndpoint(args[0]));
--- a/standins/src/main/java/org/verbenadyke/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/log/LogStandIn.java
@@ -29,29 +29,29 @@
 import static io.servicetalk.buffer.netty.BufferAllocators.DEFAULT_ALLOCATOR;
 
 /**
- * Stands in for the platform's log service: append, read with a long poll, limited retention, and switches for outage,
- * slowness and answers lost after the append took effect. The stream of effects stands for the upstreams' database and
- * is spared.
+ * Stand-in for the platform's log service: append, read with a long poll, limited retention, and injected faults
+ * (outage, slowness, answers lost after the append took effect). The effects stream represents the upstreams' database,
+ * so outage and slowness don't apply to that stream.
  */
 public final class LogStandIn implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String STREAMS = "/streams/";
-    private static final String EFFECTS = STREAMS + "effects";
-    private static final int BATCH = 1_000;
-    private static final Duration POLL = Duration.ofMillis(10);
+    private static final String STREAMS_PATH = "/streams/";
+    private static final String EFFECTS_PATH = STREAMS_PATH + "effects";
+    private static final int MAX_RECORDS_PER_READ = 1_000;
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(10);
 
     private final Map<String, LogStream> streams = new ConcurrentHashMap<>();
-    private final LogSwitches switches = new LogSwitches();
+    private final LogFaults faults = new LogFaults();
     private HttpServerContext server;
 
     private LogStandIn() {}
 
     /**
-     * Starts the stand-in.
+     * Starts the stand-in on an address.
      *
      * @param endpoint where it listens
      * @return the running stand-in
-     * @throws Exception when it can't listen
+     * @throws Exception if the address can't be bound
      */
     public static LogStandIn start(Endpoint endpoint) throws Exception {
         LogStandIn log = new LogStandIn();
@@ -66,67 +66,72 @@
         server.closeAsync().toFuture();
     }
 
-    private Single<HttpResponse> handle(HttpServiceContext context, HttpRequest request, HttpResponseFactory answers) {
+    private Single<HttpResponse> handle(
+            HttpServiceContext context, HttpRequest request, HttpResponseFactory responses) {
         if (request.path().equals("/switches")) {
-            set(request);
-            return Single.succeeded(answers.noContent());
+            applyFaults(request);
+            return Single.succeeded(responses.noContent());
         }
-        if (!request.path().startsWith(STREAMS)) {
-            return Single.succeeded(answers.notFound());
+        if (!request.path().startsWith(STREAMS_PATH)) {
+            return Single.succeeded(responses.notFound());
         }
-        boolean database = request.path().equals(EFFECTS);
-        if (switches.outage() && !database) {
-            return Single.succeeded(answers.serviceUnavailable());
+        boolean effectsStream = request.path().equals(EFFECTS_PATH);
+        if (faults.outage() && !effectsStream) {
+            return Single.succeeded(responses.serviceUnavailable());
         }
-        LogStream stream = streams.computeIfAbsent(request.path().substring(STREAMS.length()), n -> new LogStream());
+        LogStream stream =
+                streams.computeIfAbsent(request.path().substring(STREAMS_PATH.length()), n -> new LogStream());
         Executor executor = context.executionContext().executor();
         Single<HttpResponse> answer = request.method().equals(HttpRequestMethod.POST)
-                ? append(stream, request, answers)
-                : read(stream, request, answers, executor);
-        long slow = database ? 0 : switches.slowMillis();
-        return slow == 0 ? answer : executor.timer(Duration.ofMillis(slow)).concat(answer);
+                ? append(stream, request, responses)
+                : read(stream, request, responses, executor);
+        long delayMillis = effectsStream ? 0 : faults.slowMillis();
+        return delayMillis == 0
+                ? answer
+                : executor.timer(Duration.ofMillis(delayMillis)).concat(answer);
     }
 
-    private Single<HttpResponse> append(LogStream stream, HttpRequest request, HttpResponseFactory answers) {
+    private Single<HttpResponse> append(LogStream stream, HttpRequest request, HttpResponseFactory responses) {
         byte[] bytes = new byte[request.payloadBody().readableBytes()];
         request.payloadBody().readBytes(bytes);
         long offset = stream.append(bytes, System.currentTimeMillis());
-        stream.retain(0, switches.retention());
-        if (switches.loseThisAnswer()) {
+        stream.retain(0, faults.retention());
+        if (faults.consumeLostAnswer()) {
             return Single.never();
         }
-        return Single.succeeded(json(answers, JSON.createObjectNode().put("offset", offset)));
+        return Single.succeeded(jsonResponse(responses, JSON.createObjectNode().put("offset", offset)));
     }
 
     private Single<HttpResponse> read(
-            LogStream stream, HttpRequest request, HttpResponseFactory answers, Executor executor) {
-        long from = number(request, "from");
-        long until = System.currentTimeMillis() + number(request, "wait");
-        return poll(stream, from, until, answers, executor);
+            LogStream stream, HttpRequest request, HttpResponseFactory responses, Executor executor) {
+        long from = longParameter(request, "from");
+        long deadlineMillis = System.currentTimeMillis() + longParameter(request, "wait");
+        return poll(stream, from, deadlineMillis, responses, executor);
     }
 
     private Single<HttpResponse> poll(
-            LogStream stream, long from, long until, HttpResponseFactory answers, Executor executor) {
-        List<LogStream.Stored> found = stream.from(from, BATCH);
-        if (!found.isEmpty() || System.currentTimeMillis() >= until) {
-            return Single.succeeded(json(answers, batch(stream, from, found)));
+            LogStream stream, long from, long deadlineMillis, HttpResponseFactory responses, Executor executor) {
+        List<LogStream.StoredRecord> batch = stream.readFrom(from, MAX_RECORDS_PER_READ);
+        if (!batch.isEmpty() || System.currentTimeMillis() >= deadlineMillis) {
+            return Single.succeeded(jsonResponse(responses, toJson(stream, from, batch)));
         }
-        if (switches.outage()) {
-            return Single.succeeded(answers.serviceUnavailable());
+        if (faults.outage()) {
+            return Single.succeeded(responses.serviceUnavailable());
         }
-        return executor.timer(POLL).concat(Single.defer(() -> poll(stream, from, until, answers, executor)));
+        return executor.timer(POLL_INTERVAL)
+                .concat(Single.defer(() -> poll(stream, from, deadlineMillis, responses, executor)));
     }
 
-    private static ObjectNode batch(LogStream stream, long from, List<LogStream.Stored> found) {
+    private static ObjectNode toJson(LogStream stream, long from, List<LogStream.StoredRecord> batch) {
         ObjectNode node = JSON.createObjectNode();
-        node.put("first", stream.first());
+        node.put("first", stream.firstOffset());
         node.put(
                 "next",
-                found.isEmpty()
-                        ? Math.max(from, stream.first())
-                        : found.getLast().offset() + 1);
+                batch.isEmpty()
+                        ? Math.max(from, stream.firstOffset())
+                        : batch.getLast().offset() + 1);
         ArrayNode records = node.putArray("records");
-        for (LogStream.Stored r : found) {
+        for (LogStream.StoredRecord r : batch) {
             records.addObject()
                     .put("offset", r.offset())
                     .put("data", Base64.getEncoder().encodeToString(r.bytes()));
@@ -134,23 +139,23 @@
         return node;
     }
 
-    private void set(HttpRequest request) {
-        parameter(request, "outage").ifPresent(v -> switches.outage(Boolean.parseBoolean(v)));
-        parameter(request, "slow-ms").ifPresent(v -> switches.slowMillis(Long.parseLong(v)));
-        parameter(request, "retention").ifPresent(v -> switches.retention(Integer.parseInt(v)));
-        parameter(request, "lose").ifPresent(v -> switches.loseAnswers(Integer.parseInt(v)));
+    private void applyFaults(HttpRequest request) {
+        queryParameter(request, "outage").ifPresent(v -> faults.outage(Boolean.parseBoolean(v)));
+        queryParameter(request, "slow-ms").ifPresent(v -> faults.slowMillis(Long.parseLong(v)));
+        queryParameter(request, "retention").ifPresent(v -> faults.retention(Integer.parseInt(v)));
+        queryParameter(request, "lose").ifPresent(v -> faults.loseAnswers(Integer.parseInt(v)));
     }
 
-    private static long number(HttpRequest request, String name) {
-        return parameter(request, name).map(Long::parseLong).orElse(0L);
+    private static long longParameter(HttpRequest request, String name) {
+        return queryParameter(request, name).map(Long::parseLong).orElse(0L);
     }
 
-    private static Optional<String> parameter(HttpRequest request, String name) {
+    private static Optional<String> queryParameter(HttpRequest request, String name) {
         return Optional.ofNullable(request.queryParameter(name));
     }
 
-    private static HttpResponse json(HttpResponseFactory answers, ObjectNode node) {
-        HttpResponse response = answers.ok();
+    private static HttpResponse jsonResponse(HttpResponseFactory responses, ObjectNode node) {
+        HttpResponse response = responses.ok();
         byte[] bytes = node.toString().getBytes(StandardCharsets.UTF_8);
         return response.payloadBody(DEFAULT_ALLOCATOR.wrap(bytes));
     }
--- a/standins/src/main/java/org/verbenadyke/standins/log/LogStream.java
+++ b/standins/src/main/java/org/verbenadyke/standins/log/LogStream.java
@@ -9,45 +9,46 @@
  * One stream of the stand-in log, kept in memory. Safe for many threads.
  */
 final class LogStream {
-    private final Deque<Stored> records = new ArrayDeque<>();
-    private long next;
+    private final Deque<StoredRecord> records = new ArrayDeque<>();
+    private long nextOffset;
 
     synchronized long append(byte[] bytes, long nowMillis) {
-        records.addLast(new Stored(next, bytes, nowMillis));
-        return next++;
+        records.addLast(new StoredRecord(nextOffset, bytes, nowMillis));
+        return nextOffset++;
     }
 
-    synchronized long next() {
-        return next;
+    synchronized long nextOffset() {
+        return nextOffset;
     }
 
-    synchronized long first() {
-        return records.isEmpty() ? next : records.getFirst().offset();
+    synchronized long firstOffset() {
+        return records.isEmpty() ? nextOffset : records.getFirst().offset();
     }
 
-    synchronized List<Stored> from(long offset, int most) {
-        List<Stored> found = new ArrayList<>();
-        for (Stored r : records) {
-            if (r.offset() >= offset && found.size() < most) {
+    synchronized List<StoredRecord> readFrom(long offset, int maxRecords) {
+        List<StoredRecord> found = new ArrayList<>();
+        for (StoredRecord r : records) {
+            if (r.offset() >= offset && found.size() < maxRecords) {
                 found.add(r);
             }
         }
         return found;
     }
 
-    /** Drops records older than a time or beyond a count. */
-    synchronized void retain(long oldestMillis, int most) {
-        while (!records.isEmpty() && (records.getFirst().at() < oldestMillis || records.size() > most)) {
+    /** Drops the records appended before a time, and the oldest ones beyond a count. */
+    synchronized void retain(long oldestMillis, int maxRecords) {
+        while (!records.isEmpty()
+                && (records.getFirst().appendedMillis() < oldestMillis || records.size() > maxRecords)) {
             records.removeFirst();
         }
     }
 
     /**
-     * A record.
+     * A stored record.
      *
-     * @param offset its offset
-     * @param bytes its content
-     * @param at when it was appended, in milliseconds
+     * @param offset the record's offset in the stream
+     * @param bytes the record's content
+     * @param appendedMillis when the record was appended, in milliseconds since the epoch
      */
-    record Stored(long offset, byte[] bytes, long at) {}
+    record StoredRecord(long offset, byte[] bytes, long appendedMillis) {}
 }
