--- a/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
@@ -12,7 +12,7 @@
 
 import org.verbenadyke.kernel.routing.Endpoint;
 import org.verbenadyke.standins.run.Workload;
-import org.verbenadyke.standins.upstream.Bodies;
+import org.verbenadyke.standins.upstream.AnswerBodies;
 
 import io.servicetalk.buffer.api.Buffer;
 import io.servicetalk.concurrent.api.Single;
@@ -110,7 +110,7 @@
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
         byte[] expected = kind.size() > 0
-                ? Bodies.part(id, 0, kind.size())
+                ? AnswerBodies.largeBodyPart(id, 0, kind.size())
                 : workload.expectedBody(kind.target(), id).getBytes(StandardCharsets.UTF_8);
         return Arrays.equals(bytes, expected);
     }
--- a/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.error.ErrorCode;
 import org.verbenadyke.node.settings.IniReader;
 import org.verbenadyke.node.settings.InvalidSettingsException;
-import org.verbenadyke.standins.upstream.Bodies;
+import org.verbenadyke.standins.upstream.AnswerBodies;
 
 /**
  * The services and requests of one user, scaled down.
@@ -84,7 +84,7 @@
         for (String call : services.get(service).calls().getOrDefault(operation, List.of())) {
             below.append(expectedBody(call, id));
         }
-        return Bodies.text(service, operation, id, below.toString());
+        return AnswerBodies.textBody(service, operation, id, below.toString());
     }
 
     private static Service service(IniReader ini, String section) {
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/Behaviour.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/Behaviour.java
@@ -3,46 +3,47 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * How a stand-in upstream behaves at the moment; switches change it while it runs.
+ * Current behaviour of a stand-in upstream: latency, failures and reported load, which can change while the upstream
+ * runs. Safe for many threads.
  */
 final class Behaviour {
-    private static final int COLD_FACTOR = 4;
+    private static final int COLD_START_FACTOR = 4;
     private static final int PERCENT = 100;
 
     private final UpstreamSettings settings;
     private final long startMillis = System.currentTimeMillis();
-    private volatile double slow = 1;
+    private volatile double slowdownFactor = 1;
     private volatile int failPercent;
-    private volatile double reportedLoad = -1;
+    private volatile double loadOverride = -1;
 
     Behaviour(UpstreamSettings settings) {
         this.settings = settings;
         this.failPercent = settings.failPercent();
     }
 
-    void slow(double factor) {
-        slow = factor;
+    void slowdown(double factor) {
+        slowdownFactor = factor;
     }
 
     void failPercent(int percent) {
         failPercent = percent;
     }
 
-    /** Makes the load endpoint lie; a negative load makes it tell the truth again. */
-    void reportLoad(double load) {
-        reportedLoad = load;
+    /** Overrides the load that the health endpoint reports; a negative value restores the actual load. */
+    void overrideLoad(double load) {
+        loadOverride = load;
     }
 
     long serviceMillis() {
         boolean cold = System.currentTimeMillis() - startMillis < settings.coldMillis();
-        return Math.round(settings.serviceMillis() * slow * (cold ? COLD_FACTOR : 1));
+        return Math.round(settings.serviceMillis() * slowdownFactor * (cold ? COLD_START_FACTOR : 1));
     }
 
-    boolean failsNow() {
+    boolean drawFailure() {
         return failPercent > 0 && ThreadLocalRandom.current().nextInt(PERCENT) < failPercent;
     }
 
-    double load(int actual) {
-        return reportedLoad >= 0 ? reportedLoad : (double) actual / settings.slots();
+    double reportedLoad(int activeAndQueuedCalls) {
+        return loadOverride >= 0 ? loadOverride : (double) activeAndQueuedCalls / settings.slots();
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/Effects.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/EffectRecorder.java
@@ -11,26 +11,26 @@
 import io.servicetalk.http.netty.RetryingHttpRequesterFilter;
 
 /**
- * Where the effects of filings and flags go, so that a run can be counted after its upstream is gone: a stream of the
- * stand-in log that stands for the upstreams' database.
+ * Records the side effects of filings and flags in a stream of the stand-in log, which represents the upstreams'
+ * database. The records outlive the upstream, so executions can still be counted after a crash.
  */
-final class Effects {
-    private static final String STREAM = "/streams/effects";
+final class EffectRecorder {
+    private static final String STREAM_PATH = "/streams/effects";
 
     private final Optional<HttpClient> client;
 
-    private Effects(Optional<HttpClient> client) {
+    private EffectRecorder(Optional<HttpClient> client) {
         this.client = client;
     }
 
-    static Effects to(Optional<Endpoint> log) {
-        return new Effects(log.map(e -> HttpClients.forSingleAddress(e.host(), e.port())
+    static EffectRecorder writingTo(Optional<Endpoint> log) {
+        return new EffectRecorder(log.map(e -> HttpClients.forSingleAddress(e.host(), e.port())
                 .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
                 .build()));
     }
 
     Completable record(String effect) {
-        return client.map(c -> c.request(c.post(STREAM)
+        return client.map(c -> c.request(c.post(STREAM_PATH)
                                 .payloadBody(c.executionContext()
                                         .bufferAllocator()
                                         .wrap(effect.getBytes(StandardCharsets.UTF_8))))
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamMain.java
@@ -4,36 +4,37 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Runs a stand-in upstream as a process: announces itself until the node beside it takes it, and drains before it ends.
+ * Command line of a stand-in upstream. Announces the upstream until its colocated node accepts the announcement, and
+ * drains before the process exits.
  */
 public final class UpstreamMain {
-    private static final long PAUSE_MILLIS = 200;
-    private static final int DRAIN_PAUSES_MOST = 100;
+    private static final long POLL_INTERVAL_MILLIS = 200;
+    private static final int MAX_DRAIN_POLLS = 100;
 
     private UpstreamMain() {}
 
     /**
-     * Runs the upstream.
+     * Runs the upstream until the process is stopped.
      *
-     * @param args the settings file
-     * @throws Exception when it can't listen
+     * @param args the path of the settings file
+     * @throws Exception if the address can't be bound
      */
     public static void main(String[] args) throws Exception {
         UpstreamStandIn upstream = UpstreamStandIn.start(UpstreamSettings.read(Path.of(args[0])));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(upstream)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndClose(upstream)));
         while (!upstream.announce()) {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         new CountDownLatch(1).await();
     }
 
-    private static void leave(UpstreamStandIn upstream) {
+    private static void drainAndClose(UpstreamStandIn upstream) {
         try {
             upstream.drain();
-            for (int i = 0; i < DRAIN_PAUSES_MOST && upstream.load() > 0; i++) {
-                Thread.sleep(PAUSE_MILLIS);
+            for (int i = 0; i < MAX_DRAIN_POLLS && upstream.activeAndQueuedCalls() > 0; i++) {
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } catch (Exception e) {
             System.err.println("Draining failed: " + e.getMessage());
         }
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamSettings.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamSettings.java
@@ -13,47 +13,47 @@
 import org.verbenadyke.node.settings.InvalidSettingsException;
 
 /**
- * How a stand-in upstream behaves.
+ * Settings of a stand-in upstream.
  *
- * @param service the service it serves
- * @param listen where it listens
- * @param node where the node beside it listens for it
- * @param effects the log that stands for the database its effects go to
- * @param slots how many calls it works on at a time
- * @param queue how many calls wait before it sheds
- * @param serviceMillis how long a call takes, in milliseconds
- * @param coldMillis for how long after its start calls take four times as long, in milliseconds
- * @param failPercent how many calls in a hundred fail
- * @param calls which services each operation calls, as SERVICE/OPERATION
+ * @param service the service that the upstream provides
+ * @param listen the address that the upstream listens on
+ * @param node the address where the colocated node accepts requests of the upstream
+ * @param effectsLog the log that represents the database for side effects
+ * @param slots how many calls are executed concurrently
+ * @param queueCapacity how many calls wait before further ones are shed
+ * @param serviceMillis duration of a call, in milliseconds
+ * @param coldMillis for how long after the start calls take four times as long, in milliseconds
+ * @param failPercent percentage of calls that fail
+ * @param calls the nested calls of each operation, as SERVICE/OPERATION
  */
 public record UpstreamSettings(
         String service,
         Endpoint listen,
         Endpoint node,
-        Optional<Endpoint> effects,
+        Optional<Endpoint> effectsLog,
         int slots,
-        int queue,
+        int queueCapacity,
         int serviceMillis,
         int coldMillis,
         int failPercent,
         Map<String, List<String>> calls) {
     private static final String SECTION = "upstream";
-    private static final int MOST = 1_000_000;
+    private static final int MAX_VALUE = 1_000_000;
     private static final int DEFAULT_SLOTS = 20;
     private static final int DEFAULT_QUEUE = 20;
-    private static final int DEFAULT_MILLIS = 5;
-    private static final int PERCENT = 100;
+    private static final int DEFAULT_SERVICE_MILLIS = 5;
+    private static final int MAX_PERCENT = 100;
     private static final Set<String> OPERATIONS =
             Set.of("lookup", "filing", "flag", "download", "dossier", "survey", "permit", "find");
     private static final Set<String> KEYS =
             Set.of("service", "listen", "node", "effects", "slots", "queue", "service-ms", "cold-ms", "fail-percent");
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a settings file.
      *
-     * @param path the file
+     * @param path the path of the file
      * @return the settings
-     * @throws InvalidSettingsException with everything that is wrong
+     * @throws InvalidSettingsException listing all problems, if the file is invalid
      */
     public static UpstreamSettings read(Path path) {
         IniReader ini = IniReader.open(path);
@@ -69,11 +69,11 @@
                 ini.endpoint(SECTION, "listen").orElse(new Endpoint("127.0.0.1", 1)),
                 ini.endpoint(SECTION, "node").orElse(new Endpoint("127.0.0.1", 1)),
                 ini.endpoint(SECTION, "effects"),
-                (int) ini.number(SECTION, "slots", 1, MOST, DEFAULT_SLOTS),
-                (int) ini.number(SECTION, "queue", 0, MOST, DEFAULT_QUEUE),
-                (int) ini.number(SECTION, "service-ms", 0, MOST, DEFAULT_MILLIS),
-                (int) ini.number(SECTION, "cold-ms", 0, MOST, 0),
-                (int) ini.number(SECTION, "fail-percent", 0, PERCENT, 0),
+                (int) ini.number(SECTION, "slots", 1, MAX_VALUE, DEFAULT_SLOTS),
+                (int) ini.number(SECTION, "queue", 0, MAX_VALUE, DEFAULT_QUEUE),
+                (int) ini.number(SECTION, "service-ms", 0, MAX_VALUE, DEFAULT_SERVICE_MILLIS),
+                (int) ini.number(SECTION, "cold-ms", 0, MAX_VALUE, 0),
+                (int) ini.number(SECTION, "fail-percent", 0, MAX_PERCENT, 0),
                 calls);
         if (!ini.problems().isEmpty()) {
             throw InvalidSettingsException.of(ini.problems());
--- a/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/upstream/UpstreamStandIn.java
@@ -30,41 +30,41 @@
 import static io.servicetalk.buffer.netty.BufferAllocators.DEFAULT_ALLOCATOR;
 
 /**
- * Stands in for an upstream: slots, service time, cold start, its own sheds, failures, large answers, and calls to
- * other services through the node beside it.
+ * Stand-in for an upstream, with slots, service time, cold start, load shedding by the upstream itself, failures, large
+ * answers, and nested calls to other services through the colocated node.
  */
 public final class UpstreamStandIn implements AutoCloseable {
-    private static final String CONTEXT = "verbenadyke-context";
-    private static final String DEADLINE = "verbenadyke-deadline-ms";
-    private static final int FRAGMENT = 16 * 1024;
-    private static final HttpResponseStatus BELOW_FAILED = HttpResponseStatus.of(502, "");
-    private static final int OK_MOST = 299;
+    private static final String CONTEXT_HEADER = "verbenadyke-context";
+    private static final String DEADLINE_HEADER = "verbenadyke-deadline-ms";
+    private static final int FRAGMENT_BYTES = 16 * 1024;
+    private static final HttpResponseStatus NESTED_CALL_FAILED = HttpResponseStatus.of(502, "");
+    private static final int MAX_SUCCESS_STATUS = 299;
 
     private final UpstreamSettings settings;
     private final Behaviour behaviour;
-    private final Slots slots;
-    private final Effects effects;
+    private final ConcurrencyLimit limit;
+    private final EffectRecorder effects;
     private final HttpClient node;
     private HttpServerContext server;
 
     private UpstreamStandIn(UpstreamSettings settings) {
         this.settings = settings;
         this.behaviour = new Behaviour(settings);
-        this.slots = new Slots(settings.slots(), settings.queue());
-        this.effects = Effects.to(settings.effects());
-        Endpoint n = settings.node();
-        this.node = HttpClients.forSingleAddress(n.host(), n.port())
+        this.limit = new ConcurrencyLimit(settings.slots(), settings.queueCapacity());
+        this.effects = EffectRecorder.writingTo(settings.effectsLog());
+        Endpoint nodeEndpoint = settings.node();
+        this.node = HttpClients.forSingleAddress(nodeEndpoint.host(), nodeEndpoint.port())
                 .executionStrategy(HttpExecutionStrategies.offloadNone())
                 .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
                 .build();
     }
 
     /**
-     * Starts the stand-in; it does not announce itself yet.
+     * Starts the stand-in without announcing it to the node.
      *
-     * @param settings how it behaves
+     * @param settings the behaviour of the stand-in
      * @return the running stand-in
-     * @throws Exception when it can't listen
+     * @throws Exception if the address can't be bound
      */
     public static UpstreamStandIn start(UpstreamSettings settings) throws Exception {
         UpstreamStandIn upstream = new UpstreamStandIn(settings);
@@ -76,40 +76,40 @@
     }
 
     /**
-     * Announces itself to the node beside it.
+     * Announces the upstream to the colocated node.
      *
-     * @return whether the node took it
+     * @return whether the node accepted the announcement
      */
     public boolean announce() {
         String body = "{\"service\":\"" + settings.service() + "\",\"address\":\"" + settings.listen() + "\"}";
         try {
-            return node.request(node.put("/.verbenadyke/upstream").payloadBody(buffer(body)))
+            return node.request(node.put("/.verbenadyke/upstream").payloadBody(utf8(body)))
                             .toFuture()
                             .get()
                             .status()
                             .code()
-                    <= OK_MOST;
+                    <= MAX_SUCCESS_STATUS;
         } catch (Exception e) {
             return false;
         }
     }
 
     /**
-     * Tells the node beside it that it is leaving.
+     * Notifies the colocated node that the upstream is draining.
      *
-     * @throws Exception when the node can't be told
+     * @throws Exception if the node can't be reached
      */
     public void drain() throws Exception {
         node.request(node.post("/.verbenadyke/upstream/drain")).toFuture().get();
     }
 
     /**
-     * Returns the load.
+     * Returns the number of calls that are being executed or queued.
      *
-     * @return calls in work and waiting
+     * @return the number of calls
      */
-    public int load() {
-        return slots.load();
+    public int activeAndQueuedCalls() {
+        return limit.activeAndQueued();
     }
 
     @Override
@@ -118,112 +118,120 @@
     }
 
     private Single<StreamingHttpResponse> handle(
-            HttpServiceContext context, StreamingHttpRequest request, StreamingHttpResponseFactory answers) {
+            HttpServiceContext context, StreamingHttpRequest request, StreamingHttpResponseFactory responses) {
         return switch (request.path()) {
-            case "/health" -> Single.succeeded(text(answers.ok(), "{\"load\":" + behaviour.load(slots.load()) + "}"));
+            case "/health" ->
+                Single.succeeded(textResponse(
+                        responses.ok(), "{\"load\":" + behaviour.reportedLoad(limit.activeAndQueued()) + "}"));
             case "/switches" -> {
-                set(request);
-                yield Single.succeeded(answers.noContent());
+                applySwitches(request);
+                yield Single.succeeded(responses.noContent());
             }
-            default -> request.toRequest().flatMap(r -> serve(context, r.toStreamingRequest(), answers));
+            default -> request.toRequest().flatMap(r -> serve(context, r.toStreamingRequest(), responses));
         };
     }
 
     private Single<StreamingHttpResponse> serve(
-            HttpServiceContext context, StreamingHttpRequest request, StreamingHttpResponseFactory answers) {
-        Optional<Completable> turn = slots.acquire();
-        if (turn.isEmpty()) {
-            return Single.succeeded(answers.serviceUnavailable().setHeader("retry-after", "1"));
+            HttpServiceContext context, StreamingHttpRequest request, StreamingHttpResponseFactory responses) {
+        Optional<Completable> slot = limit.acquire();
+        if (slot.isEmpty()) {
+            return Single.succeeded(responses.serviceUnavailable().setHeader("retry-after", "1"));
         }
-        AtomicBoolean held = new AtomicBoolean(true);
+        AtomicBoolean slotHeld = new AtomicBoolean(true);
         Runnable release = () -> {
-            if (held.getAndSet(false)) {
-                slots.release();
+            if (slotHeld.getAndSet(false)) {
+                limit.release();
             }
         };
         Executor executor = context.executionContext().executor();
-        long left = Optional.ofNullable(request.headers().get(DEADLINE))
+        long remainingMillis = Optional.ofNullable(request.headers().get(DEADLINE_HEADER))
                 .map(v -> Long.parseLong(v.toString()))
                 .orElse(Long.MAX_VALUE);
-        if (left < behaviour.serviceMillis()) {
+        if (remainingMillis < behaviour.serviceMillis()) {
             release.run();
-            return Single.succeeded(answers.gatewayTimeout());
+            return Single.succeeded(responses.gatewayTimeout());
         }
-        return turn.get()
-                .concat(Single.defer(() -> work(executor, request, answers)))
+        return slot.get()
+                .concat(Single.defer(() -> execute(executor, request, responses)))
                 .map(r -> r.transformPayloadBody(p -> p.beforeFinally(release)))
                 .beforeOnError(e -> release.run())
                 .beforeCancel(release);
     }
 
-    private Single<StreamingHttpResponse> work(
-            Executor executor, StreamingHttpRequest request, StreamingHttpResponseFactory answers) {
+    private Single<StreamingHttpResponse> execute(
+            Executor executor, StreamingHttpRequest request, StreamingHttpResponseFactory responses) {
         String operation = request.path().substring(1);
         String id = Optional.ofNullable(request.queryParameter("id")).orElse("");
-        if (behaviour.failsNow()) {
-            return Single.succeeded(answers.internalServerError());
+        if (behaviour.drawFailure()) {
+            return Single.succeeded(responses.internalServerError());
         }
         Completable effect = operation.equals("filing") || operation.equals("flag")
                 ? effects.record(settings.service() + " " + id)
                 : Completable.completed();
         return effect.concat(executor.timer(Duration.ofMillis(behaviour.serviceMillis())))
-                .concat(Single.defer(() -> below(request, operation, id)))
-                .map(below -> below.isEmpty()
-                        ? answers.newResponse(BELOW_FAILED)
-                        : answer(request, answers, operation, id, below.get()));
+                .concat(Single.defer(() -> callNested(request, operation, id)))
+                .map(nestedAnswers -> nestedAnswers.isEmpty()
+                        ? responses.newResponse(NESTED_CALL_FAILED)
+                        : answer(request, responses, operation, id, nestedAnswers.get()));
     }
 
-    /** Calls the services below one after the other; empty when one of them failed. */
-    private Single<Optional<String>> below(StreamingHttpRequest request, String operation, String id) {
+    /** Performs the nested calls of an operation one after the other; empty if one of them failed. */
+    private Single<Optional<String>> callNested(StreamingHttpRequest request, String operation, String id) {
         List<String> targets = settings.calls().getOrDefault(operation, List.of());
         Single<Optional<String>> result = Single.succeeded(Optional.of(""));
         for (String target : targets) {
-            result = result.flatMap(
-                    before -> before.isEmpty() ? Single.succeeded(before) : call(request, target, id, before.get()));
+            result = result.flatMap(previousAnswers -> previousAnswers.isEmpty()
+                    ? Single.succeeded(previousAnswers)
+                    : call(request, target, id, previousAnswers.get()));
         }
         return result;
     }
 
-    private Single<Optional<String>> call(StreamingHttpRequest request, String target, String id, String before) {
-        CharSequence context = request.headers().get(CONTEXT);
-        return node.request(node.get("/" + target + "?id=" + id).setHeader(CONTEXT, context == null ? "" : context))
-                .map(r -> r.status().code() > OK_MOST
+    private Single<Optional<String>> call(
+            StreamingHttpRequest request, String target, String id, String previousAnswers) {
+        CharSequence context = request.headers().get(CONTEXT_HEADER);
+        return node.request(
+                        node.get("/" + target + "?id=" + id).setHeader(CONTEXT_HEADER, context == null ? "" : context))
+                .map(r -> r.status().code() > MAX_SUCCESS_STATUS
                         ? Optional.<String>empty()
-                        : Optional.of(before + r.payloadBody().toString(StandardCharsets.UTF_8)))
+                        : Optional.of(previousAnswers + r.payloadBody().toString(StandardCharsets.UTF_8)))
                 .onErrorReturn(e -> Optional.empty());
     }
 
     private StreamingHttpResponse answer(
             StreamingHttpRequest request,
-            StreamingHttpResponseFactory answers,
+            StreamingHttpResponseFactory responses,
             String operation,
             String id,
-            String below) {
+            String nestedAnswers) {
         int size = Optional.ofNullable(request.queryParameter("size"))
                 .map(Integer::parseInt)
                 .orElse(0);
         if (size == 0) {
-            return text(answers.ok(), Bodies.text(settings.service(), operation, id, below));
+            return textResponse(
+                    responses.ok(), AnswerBodies.textBody(settings.service(), operation, id, nestedAnswers));
         }
-        Publisher<Buffer> body = Publisher.fromIterable(() -> IntStream.range(0, (size + FRAGMENT - 1) / FRAGMENT)
-                .mapToObj(i -> DEFAULT_ALLOCATOR.wrap(
-                        Bodies.part(id, (long) i * FRAGMENT, Math.min(FRAGMENT, size - i * FRAGMENT))))
-                .iterator());
-        return answers.ok().payloadBody(body);
+        Publisher<Buffer> body =
+                Publisher.fromIterable(() -> IntStream.range(0, (size + FRAGMENT_BYTES - 1) / FRAGMENT_BYTES)
+                        .mapToObj(i -> DEFAULT_ALLOCATOR.wrap(AnswerBodies.largeBodyPart(
+                                id, (long) i * FRAGMENT_BYTES, Math.min(FRAGMENT_BYTES, size - i * FRAGMENT_BYTES))))
+                        .iterator());
+        return responses.ok().payloadBody(body);
     }
 
-    private void set(StreamingHttpRequest request) {
-        Optional.ofNullable(request.queryParameter("slow")).ifPresent(v -> behaviour.slow(Double.parseDouble(v)));
+    private void applySwitches(StreamingHttpRequest request) {
+        Optional.ofNullable(request.queryParameter("slow")).ifPresent(v -> behaviour.slowdown(Double.parseDouble(v)));
         Optional.ofNullable(request.queryParameter("fail-percent"))
                 .ifPresent(v -> behaviour.failPercent(Integer.parseInt(v)));
-        Optional.ofNullable(request.queryParameter("load")).ifPresent(v -> behaviour.reportLoad(Double.parseDouble(v)));
+        Optional.ofNullable(request.queryParameter("load"))
+                .ifPresent(v -> behaviour.overrideLoad(Double.parseDouble(v)));
     }
 
-    private static StreamingHttpResponse text(StreamingHttpResponse response, String body) {
-        return response.payloadBody(Publisher.from(buffer(body)));
+    private static StreamingHttpResponse textResponse(StreamingHttpResponse response, String body) {
+        return response.payloadBody(Publisher.from(utf8(body)));
     }
 
-    private static Buffer buffer(String text) {
+    private static Buffer utf8(String text) {
         return DEFAULT_ALLOCATOR.fromUtf8(text);
     }
 }
