--- a/standins/src/main/java/org/verbenadyke/standins/platform/Client.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/Client.java
@@ -12,13 +12,13 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * A client of a node, and the server's way to report to it.
+ * HTTP client of a node under test: sends callers' requests and, on behalf of servers, their announcements.
  */
 public final class Client {
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
     private static final int OK = 200;
-    private static final int CONNECT_TRIES = 200;
-    private static final long PAUSE_MILLIS = 50;
+    private static final int MAX_READY_POLLS = 200;
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -31,7 +31,7 @@
     /**
      * Creates a client.
      *
-     * @param ports where the node listens
+     * @param ports the node's listening addresses
      * @return the client
      */
     public static Client of(NodePorts ports) {
@@ -41,13 +41,13 @@
     /**
      * Sends a request.
      *
-     * @param method the method
-     * @param host the host it names
+     * @param method the HTTP method
+     * @param host the value of the Host header
      * @param path the path
-     * @param id its id
-     * @param deadlineMillis how long it waits, as it says
+     * @param id the request id
+     * @param deadlineMillis the deadline that the request declares, in milliseconds
      * @return the answer
-     * @throws IOException when the node breaks the connection off
+     * @throws IOException if the node aborts the connection
      */
     public HttpResponse<String> send(String method, String host, String path, String id, long deadlineMillis)
             throws IOException {
@@ -57,14 +57,14 @@
     /**
      * Sends a request with further header fields.
      *
-     * @param method the method
-     * @param host the host it names
+     * @param method the HTTP method
+     * @param host the value of the Host header
      * @param path the path
-     * @param id its id
-     * @param deadlineMillis how long it waits, as it says
-     * @param fields the further fields; each value is sent as a field of its own
+     * @param id the request id
+     * @param deadlineMillis the deadline that the request declares, in milliseconds
+     * @param fields the further fields; each value is sent as a separate field
      * @return the answer
-     * @throws IOException when the node breaks the connection off
+     * @throws IOException if the node aborts the connection
      */
     public HttpResponse<String> send(
             String method, String host, String path, String id, long deadlineMillis, Map<String, List<String>> fields)
@@ -83,12 +83,12 @@
     }
 
     /**
-     * Reports for a server.
+     * Sends a report on behalf of a server.
      *
      * @param id the server's id
-     * @param report what it says
+     * @param report the report document
      * @return the status of the answer
-     * @throws IOException when the node breaks the connection off
+     * @throws IOException if the node aborts the connection
      */
     public int report(String id, String report) throws IOException {
         return call(HttpRequest.newBuilder(uri(ports.announcements(), "/-/instances/" + id))
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Says for a server that it is gone.
+     * Deregisters a server on its behalf.
      *
      * @param id the server's id
      * @return the status of the answer
-     * @throws IOException when the node breaks the connection off
+     * @throws IOException if the node aborts the connection
      */
     public int leave(String id) throws IOException {
         return call(HttpRequest.newBuilder(uri(ports.announcements(), "/-/instances/" + id))
@@ -112,19 +112,19 @@
     /**
      * Waits until the node is ready.
      *
-     * @return whether it became ready in about ten seconds
+     * @return whether the node became ready within about ten seconds
      */
     public boolean awaitReady() {
-        for (int i = 0; i < CONNECT_TRIES; i++) {
+        for (int i = 0; i < MAX_READY_POLLS; i++) {
             try {
                 if (call(HttpRequest.newBuilder(uri(ports.ready(), "/-/readiness")))
                                 .statusCode()
                         == OK) {
                     return true;
                 }
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             } catch (IOException e) {
-                pause();
+                sleepBetweenPolls();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return false;
@@ -135,16 +135,16 @@
 
     private HttpResponse<String> call(HttpRequest.Builder request) throws IOException {
         try {
-            return http.send(request.timeout(PATIENCE).build(), HttpResponse.BodyHandlers.ofString());
+            return http.send(request.timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
     }
 
-    private static void pause() {
+    private static void sleepBetweenPolls() {
         try {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/standins/src/main/java/org/verbenadyke/standins/platform/Documents.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/Documents.java
@@ -3,14 +3,14 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * Documents as the platform's operators and servers write them.
+ * Sample documents in the formats that the platform's operators and servers use.
  */
 public final class Documents {
     private Documents() {}
 
     /**
-     * Words a configuration with one idempotent and one other route of a service, at hosts {@code read.example} and
-     * {@code write.example}.
+     * Returns a configuration with two routes to a service: an idempotent one at host {@code read.example} and a
+     * non-idempotent one at host {@code write.example}.
      *
      * @param version the version
      * @param service the service
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Words the same configuration for callers of certain teams; the route at {@code read.example} under {@code /open/}
-     * serves callers without a key.
+     * Returns the configuration of {@link #configuration(int, String)} restricted to teams, with an additional route at
+     * {@code read.example} under {@code /open/} for callers without a key.
      *
      * @param version the version
      * @param service the service
@@ -39,34 +39,34 @@
      * @return the document
      */
     public static String configuration(int version, String service, String teams) {
-        String open = """
+        String openRoute = """
                 {"name":"open","host":"read.example","path-prefix":"/open/","kind":"idempotent","timeout":"3000ms",\
                 "target-latency":"500ms","priority":1,"service":"%s","max-attempts":2,"public":true},\
                 """.formatted(service);
-        String plain = configuration(version, service);
-        String withRoute = plain.replace("\"routes\":[", "\"routes\":[" + open);
+        String baseConfiguration = configuration(version, service);
+        String withRoute = baseConfiguration.replace("\"routes\":[", "\"routes\":[" + openRoute);
         return withRoute.substring(0, withRoute.length() - 1) + ",\"tenants\":" + teams + "}";
     }
 
     /**
-     * Words a team.
+     * Returns a team without a rate limit.
      *
-     * @param name its name
-     * @param priority its priority
-     * @param keys its keys
+     * @param name the team's name
+     * @param priority the team's priority
+     * @param keys the team's API keys
      * @return the team as a JSON object
      */
     public static String team(String name, int priority, String... keys) {
-        String list = "\"" + String.join("\",\"", keys) + "\"";
-        return "{\"name\":\"%s\",\"api-keys\":[%s],\"priority\":%d}".formatted(name, list, priority);
+        String quotedKeys = "\"" + String.join("\",\"", keys) + "\"";
+        return "{\"name\":\"%s\",\"api-keys\":[%s],\"priority\":%d}".formatted(name, quotedKeys, priority);
     }
 
     /**
-     * Words a team with a rate limit and no burst.
+     * Returns a team with a rate limit and no burst.
      *
-     * @param name its name
-     * @param perSecond how many requests a second it may send
-     * @param key its key
+     * @param name the team's name
+     * @param perSecond the permitted requests per second
+     * @param key the team's API key
      * @return the team as a JSON object
      */
     public static String limitedTeam(String name, int perSecond, String key) {
@@ -74,30 +74,30 @@
     }
 
     /**
-     * Words a server's report.
+     * Returns a server's report.
      *
-     * @param service its service
-     * @param address where it listens
+     * @param service the server's service
+     * @param address the server's address
      * @param state {@code ready} or {@code draining}
-     * @param sequence counts its reports since its start
-     * @param bornMillis when it started, in milliseconds since the epoch
+     * @param sequence sequence number of the report since the server's start
+     * @param startedMillis when the server started, in milliseconds since the epoch
      * @return the document
      */
-    public static String report(String service, Endpoint address, String state, int sequence, long bornMillis) {
+    public static String report(String service, Endpoint address, String state, int sequence, long startedMillis) {
         return """
                 {"service":"%s","address":"%s","zone":"z","version":"v1","slots":8,"state":"%s",\
                 "cold-remaining":"0ms","sequence":%d,\
-                "born":%d}""".formatted(service, address, state, sequence, bornMillis);
+                "born":%d}""".formatted(service, address, state, sequence, startedMillis);
     }
 
     /**
-     * Words a node's settings.
+     * Returns a node's settings.
      *
      * @param id the node's name
-     * @param ports where it listens
-     * @param service the service beside it
-     * @param store the store
-     * @return the file's text
+     * @param ports the node's listening addresses
+     * @param service the service of the colocated upstream
+     * @param store the store's address
+     * @return the text of the settings file
      */
     public static String settings(String id, NodePorts ports, String service, Endpoint store) {
         return """
--- a/standins/src/main/java/org/verbenadyke/standins/platform/KeyedTopic.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/KeyedTopic.java
@@ -11,58 +11,59 @@
 import java.util.TreeMap;
 
 /**
- * One topic of the store's stand-in: records in order, of which old ones can be forgotten, and the newest of each key.
+ * One topic of the stand-in store: the records in order, which can be compacted away, and the latest record of each
+ * key. Safe for many threads.
  */
 final class KeyedTopic {
     private final List<Entry> records = new ArrayList<>();
-    private final Map<String, Entry> newest = new TreeMap<>();
-    private long first;
+    private final Map<String, Entry> latestByKey = new TreeMap<>();
+    private long firstOffset;
 
     synchronized long append(String key, byte[] value) {
-        Entry entry = new Entry(end(), key, value);
+        Entry entry = new Entry(endOffset(), key, value);
         records.add(entry);
         if (value.length == 0) {
-            newest.remove(key);
+            latestByKey.remove(key);
         } else {
-            newest.put(key, entry);
+            latestByKey.put(key, entry);
         }
         return entry.offset();
     }
 
-    synchronized long end() {
-        return first + records.size();
+    synchronized long endOffset() {
+        return firstOffset + records.size();
     }
 
-    synchronized long first() {
-        return first;
+    synchronized long firstOffset() {
+        return firstOffset;
     }
 
-    /** Forgets the history; the newest of each key stays. */
+    /** Drops the record history; the latest record of each key stays. */
     synchronized void compact() {
-        first = end();
+        firstOffset = endOffset();
         records.clear();
     }
 
-    /** Takes a copy. */
+    /** Returns an independent copy of the topic. */
     synchronized KeyedTopic copy() {
         KeyedTopic copy = new KeyedTopic();
         copy.records.addAll(records);
-        copy.newest.putAll(newest);
-        copy.first = first;
+        copy.latestByKey.putAll(latestByKey);
+        copy.firstOffset = firstOffset;
         return copy;
     }
 
-    synchronized Collection<Entry> newest() {
-        return List.copyOf(newest.values());
+    synchronized Collection<Entry> latest() {
+        return List.copyOf(latestByKey.values());
     }
 
-    /** Returns the answer of a read: end, first offset, and the records from an offset on. */
+    /** Returns the body of a read response: end offset, first offset, and the records from an offset on. */
     synchronized byte[] read(long from) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(end());
-            out.writeLong(first);
-            for (Entry e : records.subList((int) (from - first), records.size())) {
+            out.writeLong(endOffset());
+            out.writeLong(firstOffset);
+            for (Entry e : records.subList((int) (from - firstOffset), records.size())) {
                 byte[] key = e.key().getBytes(StandardCharsets.UTF_8);
                 out.writeInt(1 + key.length + e.value().length);
                 out.writeByte(key.length);
@@ -76,11 +77,11 @@
     }
 
     /**
-     * One record.
+     * A record.
      *
-     * @param offset its number
-     * @param key its key
-     * @param value its value, empty to drop the key
+     * @param offset the record's offset in the topic
+     * @param key the key
+     * @param value the value; empty deletes the key
      */
     record Entry(long offset, String key, byte[] value) {}
 }
--- a/standins/src/main/java/org/verbenadyke/standins/platform/Load.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/LoadGenerator.java
@@ -10,57 +10,58 @@
 import org.verbenadyke.node.http1.HttpRequestMessage;
 
 /**
- * Sends requests to a node, some at once, as fast as they are answered; for looking at what a request costs.
+ * Closed-loop load generator: keeps a fixed number of requests to a node in flight and prints the average time per
+ * request.
  */
-final class Load {
-    private static final int AT_ONCE = 8;
+final class LoadGenerator {
+    private static final int CONCURRENCY = 8;
     private static final double NANOS_PER_MICRO = 1_000.0;
 
     private final HttpPool pool;
     private final int requests;
     private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
-    private final CountDownLatch running = new CountDownLatch(AT_ONCE);
+    private final CountDownLatch activeLoops = new CountDownLatch(CONCURRENCY);
 
-    private Load(HttpPool pool, int requests) {
+    private LoadGenerator(HttpPool pool, int requests) {
         this.pool = pool;
         this.requests = requests;
     }
 
-    static Load on(HttpPool pool, int requests) {
-        return new Load(pool, requests);
+    static LoadGenerator on(HttpPool pool, int requests) {
+        return new LoadGenerator(pool, requests);
     }
 
     void run() throws InterruptedException {
-        long begun = System.nanoTime();
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+        long startNanos = System.nanoTime();
+        for (int i = 0; i < CONCURRENCY; i++) {
+            sendNext();
         }
-        running.await();
-        double micros = (System.nanoTime() - begun) / NANOS_PER_MICRO;
+        activeLoops.await();
+        double micros = (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
         System.out.printf("load: %d of %d served, %.1f microseconds each%n", served.get(), requests, micros / requests);
     }
 
-    private void next() {
-        int number = sent.incrementAndGet();
-        if (number > requests) {
-            running.countDown();
+    private void sendNext() {
+        int sequence = sent.incrementAndGet();
+        if (sequence > requests) {
+            activeLoops.countDown();
             return;
         }
         List<HeaderField> fields = List.of(
                 new HeaderField("host", "read.example"),
-                new HeaderField("x-request-id", "l" + number),
+                new HeaderField("x-request-id", "l" + sequence),
                 new HeaderField("x-deadline-ms", "2000"));
         pool.send(HttpRequestMessage.of("GET", "/r/x/" + ServerStandIn.FINE, fields), new Listener());
     }
 
-    /** Counts one answer and sends the next request. */
+    /** Counts one answer if successful and sends the next request. */
     private final class Listener implements AnswerListener {
         private static final int OK = 200;
 
         @Override
         public void unreachable() {
-            next();
+            sendNext();
         }
 
         @Override
@@ -77,17 +78,17 @@
 
         @Override
         public void data(byte[] bytes) {
-            // The bytes don't matter here.
+            // Only the status counts.
         }
 
         @Override
         public void end() {
-            next();
+            sendNext();
         }
 
         @Override
         public void broken() {
-            next();
+            sendNext();
         }
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/platform/NodePorts.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/NodePorts.java
@@ -10,50 +10,50 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * Where a node on loopback listens.
+ * Listening addresses of a node on loopback.
  *
- * @param entry for clients
- * @param ready for questions whether it is ready
- * @param announcements for the server beside it
- * @param peers for other nodes
+ * @param entry the address for callers
+ * @param ready the address for readiness checks
+ * @param announcements the address for announcements of the colocated server
+ * @param peers the address for other nodes
  */
 public record NodePorts(Endpoint entry, Endpoint ready, Endpoint announcements, Endpoint peers) {
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** The ports that are tried: below those that the system gives to outgoing connections, from 32,768 on. */
-    private static final int FIRST = 15_000;
+    /** First port tried. The range ends below 32,768, where the ephemeral ports of outgoing connections begin. */
+    private static final int FIRST_PORT = 15_000;
 
-    private static final int RANGE = 15_000;
+    private static final int PORT_COUNT = 15_000;
 
-    /** Begins anywhere, so that processes which run at once seldom try the same. */
-    private static final AtomicInteger NEXT =
-            new AtomicInteger(ThreadLocalRandom.current().nextInt(RANGE));
+    /** Starts at a random position, so that concurrent processes seldom try the same ports. */
+    private static final AtomicInteger NEXT_PORT_INDEX =
+            new AtomicInteger(ThreadLocalRandom.current().nextInt(PORT_COUNT));
 
     /**
-     * Finds ports that are free at the moment.
+     * Finds four ports that are currently free.
      *
-     * @return the ports
+     * @return the addresses
      */
     public static NodePorts free() {
         return new NodePorts(freeEndpoint(), freeEndpoint(), freeEndpoint(), freeEndpoint());
     }
 
     /**
-     * Finds one port that is free at the moment, and that this process has not given before.
+     * Finds a port that is currently free and that the process hasn't returned before.
      *
-     * @return its address
+     * @return the address on loopback
      */
     public static Endpoint freeEndpoint() {
-        for (int tries = 0; tries < RANGE; tries++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), RANGE);
-            if (free(port)) {
+        for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_PORT_INDEX.getAndIncrement(), PORT_COUNT);
+            if (isFree(port)) {
                 return new Endpoint(LOOPBACK, port);
             }
         }
-        throw new IllegalStateException("no port is free from " + FIRST + " on");
+        throw new IllegalStateException("no port is free from " + FIRST_PORT + " on");
     }
 
-    private static boolean free(int port) {
+    private static boolean isFree(int port) {
         try (ServerSocket socket = new ServerSocket()) {
             socket.bind(new InetSocketAddress(InetAddress.getByName(LOOPBACK), port));
             return true;
--- a/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
@@ -14,8 +14,8 @@
 import org.verbenadyke.node.transport.EventLoops;
 
 /**
- * Starts a node against the stand-ins, sends it some requests and stops it. The build runs the node's own command line
- * through it to record which classes a node loads.
+ * Starts a node against the stand-ins, sends some requests through the node and stops the node. The build passes the
+ * node's own command line to record which classes a node loads.
  */
 public final class RehearsalMain {
     private static final int REQUESTS = 60;
@@ -24,7 +24,7 @@
     private static final long SETTLE_MILLIS = 200;
     private static final int OK = 200;
     private static final String SERVICE = "rehearsed";
-    private static final String SERVER = "server-1";
+    private static final String SERVER_ID = "server-1";
 
     private RehearsalMain() {}
 
@@ -32,29 +32,29 @@
      * Runs the rehearsal.
      *
      * @param args the settings file to write, then the node's command line
-     * @throws IOException when the node can't be started or does not answer
-     * @throws InterruptedException when interrupted
+     * @throws IOException if the node can't be started or doesn't answer
+     * @throws InterruptedException if interrupted while waiting
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host");
         EventLoops loops = EventLoops.nio(1);
         EventLoopTimerService timers = EventLoopTimerService.on(loops.group().next());
         NodePorts ports = NodePorts.free();
-        Endpoint storeAt = NodePorts.freeEndpoint();
-        Endpoint serverAt = NodePorts.freeEndpoint();
-        StoreStandIn store = StoreStandIn.listen(storeAt, loops, timers);
-        ServerStandIn server = ServerStandIn.listen(SERVER, serverAt, loops, timers);
+        Endpoint storeEndpoint = NodePorts.freeEndpoint();
+        Endpoint serverEndpoint = NodePorts.freeEndpoint();
+        StoreStandIn store = StoreStandIn.listen(storeEndpoint, loops, timers);
+        ServerStandIn server = ServerStandIn.listen(SERVER_ID, serverEndpoint, loops, timers);
         store.write(StoreStandIn.OPERATORS, StoreStandIn.CONFIGURATION, Documents.configuration(1, SERVICE));
         Path settings = Path.of(args[0]);
-        Files.writeString(settings, Documents.settings("rehearsal", ports, SERVICE, storeAt));
+        Files.writeString(settings, Documents.settings("rehearsal", ports, SERVICE, storeEndpoint));
         ProcessBuilder builder = new ProcessBuilder(Arrays.copyOfRange(args, 1, args.length)).inheritIO();
         builder.environment().put("VERBENADYKE_SETTINGS", settings.toString());
         Process node = builder.start();
         try {
-            int served = rehearse(Client.of(ports), serverAt, server.bornMillis());
-            int load = Integer.getInteger("rehearsal.load", 0);
-            if (load > 0) {
-                Load.on(HttpPool.to(ports.entry(), loops, timers, PoolSettings.standard()), load)
+            int served = sendRequests(Client.of(ports), serverEndpoint, server.bornMillis());
+            int loadRequests = Integer.getInteger("rehearsal.load", 0);
+            if (loadRequests > 0) {
+                LoadGenerator.on(HttpPool.to(ports.entry(), loops, timers, PoolSettings.standard()), loadRequests)
                         .run();
             }
             System.out.println("rehearsal: " + served + " of " + REQUESTS + " requests served");
@@ -71,12 +71,12 @@
         System.exit(0);
     }
 
-    private static int rehearse(Client client, Endpoint server, long bornMillis)
+    private static int sendRequests(Client client, Endpoint server, long startedMillis)
             throws IOException, InterruptedException {
         if (!client.awaitReady()) {
             throw new IOException("the node did not become ready");
         }
-        client.report(SERVER, Documents.report(SERVICE, server, "ready", 1, bornMillis));
+        client.report(SERVER_ID, Documents.report(SERVICE, server, "ready", 1, startedMillis));
         Thread.sleep(SETTLE_MILLIS);
         int served = 0;
         for (int i = 0; i < REQUESTS; i++) {
--- a/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
@@ -17,58 +17,58 @@
 import org.verbenadyke.node.transport.EventLoops;
 
 /**
- * A stand-in of one of the platform's servers. It signs its answers, counts how often each request ran, and misbehaves
- * as the path asks.
+ * Stand-in for one of the platform's servers. Signs the answers, counts how often each request ran, and injects the
+ * fault that the last path segment names.
  */
 public final class ServerStandIn implements AutoCloseable {
-    /** A path that is answered as usual. */
+    /** Path segment for a normal answer. */
     public static final String FINE = "fine";
 
-    /** A path whose answer breaks off. */
+    /** Path segment for an answer whose connection is aborted in the middle of the body. */
     public static final String TRUNCATED = "truncated";
 
-    /** A path whose answer comes without a signature. */
+    /** Path segment for an answer without a signature. */
     public static final String UNSIGNED = "unsigned";
 
-    /** A path that the server says it did not run. */
+    /** Path segment for a refusal that declares the request as not executed. */
     public static final String SHED = "shed";
 
-    /** A path that is answered after {@link #SLOW_NANOS}. */
+    /** Path segment for an answer that is delayed by {@link #SLOW_NANOS}. */
     public static final String SLOW = "slow";
 
-    /** A path that is refused once and then answered. */
+    /** Path segment for a request that is refused on the first attempt and answered on later ones. */
     public static final String SHED_ONCE = "once-shed";
 
-    /** How long a slow answer takes, in nanoseconds. */
+    /** Delay of a slow answer, in nanoseconds. */
     public static final long SLOW_NANOS = 400_000_000L;
 
     private static final ServerLimits LIMITS = new ServerLimits(16 * 1024, 4 * 1024 * 1024, 60_000_000_000L);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final int OTHER_SERVER = 421;
-    private static final byte[] NOTHING = {};
+    private static final int MISDIRECTED_REQUEST = 421;
+    private static final byte[] EMPTY_BODY = {};
 
     private final String id;
     private final TimerService timers;
-    private final long bornMillis;
+    private final long startedMillis;
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final Map<String, Boolean> refused = new ConcurrentHashMap<>();
-    private volatile Optional<HttpRequestMessage> last = Optional.empty();
+    private final Map<String, Boolean> refusedOnce = new ConcurrentHashMap<>();
+    private volatile Optional<HttpRequestMessage> lastRequest = Optional.empty();
     private HttpServer server;
 
     private ServerStandIn(String id, TimerService timers) {
         this.id = id;
         this.timers = timers;
-        this.bornMillis = timers.wallMillis();
+        this.startedMillis = timers.wallMillis();
     }
 
     /**
      * Starts a server.
      *
-     * @param id its id
-     * @param endpoint where it listens
-     * @param loops the threads that serve it
-     * @param timers the time
+     * @param id the server's id
+     * @param endpoint the address to listen on
+     * @param loops the event loops that serve the connections
+     * @param timers the clock and timers
      * @return the server
      */
     public static ServerStandIn listen(String id, Endpoint endpoint, EventLoops loops, TimerService timers) {
@@ -83,26 +83,26 @@
      * @return the time in milliseconds since the epoch
      */
     public long bornMillis() {
-        return bornMillis;
+        return startedMillis;
     }
 
     /**
      * Returns how often a request ran.
      *
-     * @param requestId its id
-     * @return how often
+     * @param requestId the request's id
+     * @return the number of executions
      */
     public int runs(String requestId) {
         return Optional.ofNullable(runs.get(requestId)).map(AtomicInteger::get).orElse(0);
     }
 
     /**
-     * Returns the request that came last.
+     * Returns the request that was received last.
      *
-     * @return the request, empty before the first
+     * @return the request, empty before the first one
      */
     public Optional<HttpRequestMessage> last() {
-        return last;
+        return lastRequest;
     }
 
     @Override
@@ -112,38 +112,40 @@
 
     private void handle(HttpExchange exchange) {
         HttpRequestMessage request = exchange.request();
-        last = Optional.of(request);
+        lastRequest = Optional.of(request);
         String requestId = request.field("x-request-id").orElse("");
-        HeaderField named = new HeaderField("x-request-id", requestId);
+        HeaderField requestIdField = new HeaderField("x-request-id", requestId);
         if (!request.field("x-expected-instance").orElse(id).equals(id)) {
-            exchange.answer(OTHER_SERVER, List.of(named, new HeaderField("x-instance-id", id)), NOTHING);
+            exchange.answer(
+                    MISDIRECTED_REQUEST, List.of(requestIdField, new HeaderField("x-instance-id", id)), EMPTY_BODY);
             return;
         }
-        String word = request.target().substring(request.target().lastIndexOf('/') + 1);
-        if (word.equals(SHED) || word.equals(SHED_ONCE) && refused.putIfAbsent(requestId, true) == null) {
-            exchange.answer(UNAVAILABLE, List.of(named, new HeaderField("x-not-executed", "1")), NOTHING);
+        String lastSegment = request.target().substring(request.target().lastIndexOf('/') + 1);
+        if (lastSegment.equals(SHED)
+                || lastSegment.equals(SHED_ONCE) && refusedOnce.putIfAbsent(requestId, true) == null) {
+            exchange.answer(UNAVAILABLE, List.of(requestIdField, new HeaderField("x-not-executed", "1")), EMPTY_BODY);
             return;
         }
         runs.computeIfAbsent(requestId, r -> new AtomicInteger()).incrementAndGet();
-        if (word.equals(SLOW)) {
-            timers.after(SLOW_NANOS, () -> answer(exchange, requestId, word));
+        if (lastSegment.equals(SLOW)) {
+            timers.after(SLOW_NANOS, () -> answer(exchange, requestId, lastSegment));
             return;
         }
-        answer(exchange, requestId, word);
+        answer(exchange, requestId, lastSegment);
     }
 
-    private static void answer(HttpExchange exchange, String requestId, String word) {
+    private static void answer(HttpExchange exchange, String requestId, String lastSegment) {
         byte[] body = ("answer to " + requestId).getBytes(StandardCharsets.UTF_8);
-        HeaderField named = new HeaderField("x-request-id", requestId);
-        HeaderField signed = new HeaderField("x-server-signature", "signed");
-        switch (word) {
+        HeaderField requestIdField = new HeaderField("x-request-id", requestId);
+        HeaderField signatureField = new HeaderField("x-server-signature", "signed");
+        switch (lastSegment) {
             case TRUNCATED -> {
-                exchange.head(OK, List.of(named, signed, new HeaderField("content-length", "1000")));
+                exchange.head(OK, List.of(requestIdField, signatureField, new HeaderField("content-length", "1000")));
                 exchange.data(body);
                 exchange.abort();
             }
-            case UNSIGNED -> exchange.answer(OK, List.of(named), body);
-            default -> exchange.answer(OK, List.of(named, signed), body);
+            case UNSIGNED -> exchange.answer(OK, List.of(requestIdField), body);
+            default -> exchange.answer(OK, List.of(requestIdField, signatureField), body);
         }
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreFault.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreFault.java
@@ -1,17 +1,17 @@
 package org.verbenadyke.standins.platform;
 
 /**
- * What the store's stand-in does to calls.
+ * Fault injected into the stand-in store.
  */
 public enum StoreFault {
-    /** It answers. */
+    /** Calls are performed and answered. */
     NONE,
-    /** It refuses: nothing is done. */
+    /** Calls are refused and not performed. */
     REFUSES,
-    /** It doesn't answer, and does nothing. */
+    /** Calls are neither performed nor answered. */
     SILENT,
-    /** It answers reads with bytes that mean nothing. */
+    /** Calls aren't performed and are answered with meaningless bytes. */
     GARBLES,
-    /** It does what is asked and doesn't answer. */
+    /** Appends are performed; no call is answered. */
     LOSES_ANSWERS
 }
--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
@@ -23,10 +23,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A stand-in of the platform's store: keyed topics with one partition, long reads, and faults at the flip of a switch.
+ * Stand-in for the platform's store: keyed topics with one partition, long polling reads, and faults that can be
+ * switched while the store runs.
  */
 public final class StoreStandIn implements AutoCloseable {
-    /** The topic of the operators. */
+    /** The topic that operators write to. */
     public static final String OPERATORS = "keyed.op";
 
     /** The key of the configuration. */
@@ -34,17 +35,17 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ServerLimits LIMITS = new ServerLimits(16 * 1024, 4 * 1024 * 1024, 60_000_000_000L);
-    private static final long POLL_NANOS = 5_000_000L;
+    private static final long POLL_INTERVAL_NANOS = 5_000_000L;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int OK = 200;
     private static final int GONE = 410;
     private static final int UNAVAILABLE = 503;
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
-    private static final String ERA = "Store-Era";
+    private static final String ERA_HEADER = "Store-Era";
 
     private final Map<String, KeyedTopic> topics = new ConcurrentHashMap<>();
-    private final Map<String, KeyedTopic> copied = new ConcurrentHashMap<>();
+    private final Map<String, KeyedTopic> snapshot = new ConcurrentHashMap<>();
     private final TimerService timers;
     private final AtomicInteger calls = new AtomicInteger();
     private volatile StoreFault fault = StoreFault.NONE;
@@ -58,9 +59,9 @@
     /**
      * Starts a store.
      *
-     * @param endpoint where it listens
-     * @param loops the threads that serve it
-     * @param timers the time
+     * @param endpoint the address to listen on
+     * @param loops the event loops that serve the connections
+     * @param timers the clock and timers
      * @return the store
      */
     public static StoreStandIn listen(Endpoint endpoint, EventLoops loops, TimerService timers) {
@@ -81,7 +82,7 @@
     }
 
     /**
-     * Sets what happens to calls from now on.
+     * Sets the fault that applies to subsequent calls.
      *
      * @param newFault the fault
      */
@@ -89,44 +90,44 @@
         fault = newFault;
     }
 
-    /** Forgets the history of all topics. */
+    /** Compacts all topics: only the latest record of each key stays. */
     public void compact() {
         topics.values().forEach(KeyedTopic::compact);
     }
 
-    /** Copies all topics, to come back from the copy later. */
+    /** Takes a snapshot of all topics for {@link #comeBack}, replacing any earlier snapshot. */
     public void copy() {
-        copied.clear();
-        topics.forEach((name, topic) -> copied.put(name, topic.copy()));
+        snapshot.clear();
+        topics.forEach((name, topic) -> snapshot.put(name, topic.copy()));
     }
 
     /**
-     * Comes back from the copy: what was written since is gone, and its offsets are given out again. Reads under way
+     * Restores the snapshot: records written since are lost, and their offsets are assigned again. Reads in progress
      * wait for records of the new history.
      *
-     * @param newEra what answers name the history by from now on
+     * @param newEra the identifier of the new history, which all later answers carry
      */
     public void comeBack(String newEra) {
         topics.clear();
-        copied.forEach((name, topic) -> topics.put(name, topic.copy()));
+        snapshot.forEach((name, topic) -> topics.put(name, topic.copy()));
         era = newEra;
     }
 
     /**
-     * Tells whether a topic has a record of a key.
+     * Returns whether a topic has a record of a key.
      *
      * @param topic the topic
      * @param key the key
-     * @return whether it has
+     * @return whether the topic has such a record
      */
     public boolean holds(String topic, String key) {
-        return topic(topic).newest().stream().anyMatch(e -> e.key().equals(key));
+        return topic(topic).latest().stream().anyMatch(e -> e.key().equals(key));
     }
 
     /**
-     * Returns the calls so far.
+     * Returns the number of calls received so far.
      *
-     * @return how many, refused ones too
+     * @return the number of calls, including refused ones
      */
     public int calls() {
         return calls.get();
@@ -144,7 +145,7 @@
     private void handle(HttpExchange exchange) {
         calls.incrementAndGet();
         switch (fault) {
-            case REFUSES -> answer(exchange, UNAVAILABLE, NOTHING);
+            case REFUSES -> answer(exchange, UNAVAILABLE, EMPTY_BODY);
             case SILENT -> exchange.onCallerDisconnected(() -> {});
             case GARBLES -> exchange.answer(OK, List.of(), new byte[] {1, 2, 3});
             case LOSES_ANSWERS -> perform(exchange, false);
@@ -153,43 +154,43 @@
         }
     }
 
-    private void perform(HttpExchange exchange, boolean answers) {
+    private void perform(HttpExchange exchange, boolean sendAnswer) {
         String target = exchange.request().target();
         Map<String, String> query = query(target);
         KeyedTopic topic = topic(query.get("topic"));
         if (target.startsWith("/-/log-append")) {
-            append(exchange, topic, answers);
-        } else if (answers && target.startsWith("/-/log-newest")) {
-            answer(exchange, OK, newest(topic));
-        } else if (answers) {
-            long wait = Long.parseLong(query.getOrDefault("wait-ms", "0")) * NANOS_PER_MILLI;
-            read(exchange, query.get("topic"), Long.parseLong(query.get("from")), timers.nanos() + wait);
+            append(exchange, topic, sendAnswer);
+        } else if (sendAnswer && target.startsWith("/-/log-newest")) {
+            answer(exchange, OK, latestRecords(topic));
+        } else if (sendAnswer) {
+            long waitNanos = Long.parseLong(query.getOrDefault("wait-ms", "0")) * NANOS_PER_MILLI;
+            read(exchange, query.get("topic"), Long.parseLong(query.get("from")), timers.nanos() + waitNanos);
         }
     }
 
     private void answer(HttpExchange exchange, int status, byte[] body) {
-        exchange.answer(status, List.of(new HeaderField(ERA, era)), body);
+        exchange.answer(status, List.of(new HeaderField(ERA_HEADER, era)), body);
     }
 
-    private void append(HttpExchange exchange, KeyedTopic topic, boolean answers) {
+    private void append(HttpExchange exchange, KeyedTopic topic, boolean sendAnswer) {
         ByteBuffer in = ByteBuffer.wrap(exchange.request().body());
         byte[] content = new byte[in.getInt()];
         in.get(content);
         int keyEnd = 1 + content[0];
         String key = new String(content, 1, content[0], StandardCharsets.UTF_8);
         long offset = topic.append(key, Arrays.copyOfRange(content, keyEnd, content.length));
-        if (answers) {
-            String answer = "{\"offset\":" + offset + ",\"end\":" + topic.end() + "}";
+        if (sendAnswer) {
+            String answer = "{\"offset\":" + offset + ",\"end\":" + topic.endOffset() + "}";
             answer(exchange, OK, answer.getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    private static byte[] newest(KeyedTopic topic) {
-        // Taken first: a record that is written meanwhile is then read again, and none is passed over.
-        long end = topic.end();
+    private static byte[] latestRecords(KeyedTopic topic) {
+        // The end is read before the records: a record appended in between is read twice rather than skipped.
+        long end = topic.endOffset();
         ObjectNode root = JSON.createObjectNode();
         ArrayNode items = root.putArray("items");
-        for (KeyedTopic.Entry e : topic.newest()) {
+        for (KeyedTopic.Entry e : topic.latest()) {
             items.addObject()
                     .put("key", e.key())
                     .put("value", Base64.getEncoder().encodeToString(e.value()))
@@ -199,15 +200,15 @@
         return root.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void read(HttpExchange exchange, String name, long from, long until) {
+    private void read(HttpExchange exchange, String name, long from, long deadlineNanos) {
         KeyedTopic topic = topic(name);
-        if (from < topic.first() || from > topic.end()) {
-            String gone = "{\"first\":" + topic.first() + "}";
-            answer(exchange, GONE, gone.getBytes(StandardCharsets.UTF_8));
-        } else if (topic.end() > from || timers.nanos() >= until) {
+        if (from < topic.firstOffset() || from > topic.endOffset()) {
+            String body = "{\"first\":" + topic.firstOffset() + "}";
+            answer(exchange, GONE, body.getBytes(StandardCharsets.UTF_8));
+        } else if (topic.endOffset() > from || timers.nanos() >= deadlineNanos) {
             answer(exchange, OK, topic.read(from));
         } else {
-            timers.after(POLL_NANOS, () -> read(exchange, name, from, until));
+            timers.after(POLL_INTERVAL_NANOS, () -> read(exchange, name, from, deadlineNanos));
         }
     }
 
--- a/standins/src/test/java/org/verbenadyke/standins/platform/NodePortsTest.java
+++ b/standins/src/test/java/org/verbenadyke/standins/platform/NodePortsTest.java
@@ -10,14 +10,14 @@
 
 /** Tests {@link NodePorts}. */
 final class NodePortsTest {
-    private static final int MANY = 2_000;
+    private static final int ENDPOINT_COUNT = 2_000;
 
     @Test
-    void givesNoPortTwice() {
+    void returnsNoPortTwice() {
         Set<Endpoint> seen = new HashSet<>();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < ENDPOINT_COUNT; i++) {
             Endpoint endpoint = NodePorts.freeEndpoint();
-            assertTrue(seen.add(endpoint), "given twice: " + endpoint);
+            assertTrue(seen.add(endpoint), "returned twice: " + endpoint);
         }
     }
 }
