--- a/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
@@ -24,16 +24,16 @@
 import io.servicetalk.http.netty.RetryingHttpRequesterFilter;
 
 /**
- * Calls a fleet from outside and checks every byte of each answer.
+ * A caller of a fleet that verifies every byte of each answer.
  */
 public final class Caller implements AutoCloseable {
     private static final int OK = 200;
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private final Workload workload;
     private final List<Endpoint> entries;
     private final Map<Endpoint, HttpClient> clients = new HashMap<>();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextEntry = new AtomicInteger();
 
     private Caller(Workload workload, List<Endpoint> entries) {
         this.workload = workload;
@@ -50,8 +50,8 @@
     /**
      * Creates a caller.
      *
-     * @param workload what it may ask for
-     * @param entries the nodes it calls in turn
+     * @param workload the workload that defines the expected answers
+     * @param entries the entry addresses of the nodes, called round robin
      * @return the caller
      */
     public static Caller of(Workload workload, List<Endpoint> entries) {
@@ -61,15 +61,15 @@
     /**
      * Sends a request to the next node.
      *
-     * @param kind what to ask
-     * @param id the id to ask for
+     * @param kind the kind of request
+     * @param id the id in the query
      * @param key the idempotency key, empty for none
-     * @param deadlineMillis how long to wait, in milliseconds
-     * @param taker is told once what came back
+     * @param deadlineMillis the deadline that the request declares, in milliseconds
+     * @param callback receives the outcome, once
      */
     public void send(
-            Workload.RequestKind kind, String id, String key, long deadlineMillis, Consumer<CallerOutcome> taker) {
-        HttpClient client = clients.get(entries.get(Math.floorMod(turn.getAndIncrement(), entries.size())));
+            Workload.RequestKind kind, String id, String key, long deadlineMillis, Consumer<CallerOutcome> callback) {
+        HttpClient client = clients.get(entries.get(Math.floorMod(nextEntry.getAndIncrement(), entries.size())));
         String size = kind.size() > 0 ? "&size=" + kind.size() : "";
         HttpRequest request = client.newRequest(
                 HttpRequestMethod.of(kind.method(), HttpRequestMethod.Properties.NONE),
@@ -78,10 +78,10 @@
         if (!key.isEmpty()) {
             request.setHeader("idempotency-key", key);
         }
-        Single<HttpResponse> answer = client.request(request).timeout(PATIENCE);
-        answer.map(r -> judge(kind, id, r))
+        Single<HttpResponse> answer = client.request(request).timeout(TIMEOUT);
+        answer.map(r -> classify(kind, id, r))
                 .onErrorReturn(e -> new CallerOutcome.Lost(String.valueOf(e)))
-                .subscribe(taker::accept);
+                .subscribe(callback::accept);
     }
 
     @Override
@@ -89,24 +89,24 @@
         clients.values().forEach(c -> c.closeAsync().subscribe());
     }
 
-    private CallerOutcome judge(Workload.RequestKind kind, String id, HttpResponse response) {
-        Optional<String> state = header(response, "verbenadyke-run-state");
-        if (state.isPresent()) {
-            long after = header(response, "verbenadyke-retry-after-ms")
+    private CallerOutcome classify(Workload.RequestKind kind, String id, HttpResponse response) {
+        Optional<String> runState = header(response, "verbenadyke-run-state");
+        if (runState.isPresent()) {
+            long retryAfterMillis = header(response, "verbenadyke-retry-after-ms")
                     .map(Long::parseLong)
                     .orElse(0L);
             return new CallerOutcome.Refused(
-                    state.get(), header(response, "verbenadyke-reason").orElse(""), after);
+                    runState.get(), header(response, "verbenadyke-reason").orElse(""), retryAfterMillis);
         }
         if (response.status().code() != OK) {
             return new CallerOutcome.Failed(response.status().code());
         }
-        return whole(kind, id, response.payloadBody())
+        return hasExpectedBody(kind, id, response.payloadBody())
                 ? new CallerOutcome.Whole()
                 : new CallerOutcome.Lost("another body than asked for");
     }
 
-    private boolean whole(Workload.RequestKind kind, String id, Buffer body) {
+    private boolean hasExpectedBody(Workload.RequestKind kind, String id, Buffer body) {
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
         byte[] expected = kind.size() > 0
--- a/standins/src/main/java/org/verbenadyke/standins/caller/CallerOutcome.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/CallerOutcome.java
@@ -1,30 +1,30 @@
 package org.verbenadyke.standins.caller;
 
 /**
- * What a caller got for a request.
+ * Outcome of a request as the caller sees it.
  */
 public sealed interface CallerOutcome {
-    /** The whole right answer. */
+    /** The complete expected answer. */
     record Whole() implements CallerOutcome {}
 
     /**
-     * A refusal by the system.
+     * A refusal by the overload control.
      *
      * @param runState whether the request ran
-     * @param reason why it was refused
-     * @param retryAfterMillis when to come back, in milliseconds; 0 if not said
+     * @param reason the reason for the refusal
+     * @param retryAfterMillis the Retry-After delay, in milliseconds; 0 if none was given
      */
     record Refused(String runState, String reason, long retryAfterMillis) implements CallerOutcome {}
 
     /**
-     * A failure that an upstream answered with.
+     * An error answer of an upstream.
      *
      * @param status the HTTP status
      */
     record Failed(int status) implements CallerOutcome {}
 
     /**
-     * No answer, or a wrong one.
+     * No answer, or an answer with an unexpected body.
      *
      * @param why what went wrong
      */
--- a/standins/src/main/java/org/verbenadyke/standins/caller/EffectsReader.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/EffectsReader.java
@@ -14,7 +14,7 @@
 import io.servicetalk.http.netty.HttpClients;
 
 /**
- * Counts how often each filing or flag ran, from the stream that stands for the upstreams' database.
+ * Counts the executions of each filing or flag, from the stream that represents the upstreams' database.
  */
 public final class EffectsReader {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -22,24 +22,24 @@
     private EffectsReader() {}
 
     /**
-     * Reads all effects.
+     * Reads all recorded effects.
      *
-     * @param log where the stand-in log listens
-     * @return the number of runs by id
-     * @throws Exception when the log can't be read
+     * @param log the address of the stand-in log
+     * @return the number of executions by request id
+     * @throws Exception if the log can't be read
      */
     public static Map<String, Integer> runs(Endpoint log) throws Exception {
         Map<String, Integer> runs = new HashMap<>();
         try (BlockingHttpClient client =
                 HttpClients.forSingleAddress(log.host(), log.port()).buildBlocking()) {
-            long next = 0;
+            long nextOffset = 0;
             JsonNode batch;
             do {
-                String body = client.request(client.get("/streams/effects?from=" + next))
+                String body = client.request(client.get("/streams/effects?from=" + nextOffset))
                         .payloadBody()
                         .toString(StandardCharsets.UTF_8);
                 batch = JSON.readTree(body);
-                next = batch.path("next").asLong();
+                nextOffset = batch.path("next").asLong();
                 for (JsonNode r : batch.path("records")) {
                     String effect =
                             new String(Base64.getDecoder().decode(r.path("data").asText()), StandardCharsets.UTF_8);
