--- a/standins/src/main/java/org/verbenadyke/standins/run/Fleet.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/Fleet.java
@@ -14,13 +14,13 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * The processes of one workload on loopback: the log stand-in, and for each server a stand-in upstream and the node
- * beside it. Only processes started here are ever ended.
+ * The processes of one workload on loopback: the stand-in log, and for each server a stand-in upstream with its
+ * colocated node. Only processes that the fleet started are ever stopped.
  */
 public final class Fleet implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int PORTS_PER_SERVER = 5;
-    private static final long STOP_SECONDS = 40;
+    private static final long STOP_TIMEOUT_SECONDS = 40;
 
     private final Workload workload;
     private final FleetOptions options;
@@ -38,10 +38,10 @@
     /**
      * Starts all processes.
      *
-     * @param workload what runs
-     * @param options how
-     * @return the running fleet; its upstreams announce themselves in a moment
-     * @throws IOException when a process can't be started
+     * @param workload the services to run
+     * @param options the options of the run
+     * @return the running fleet; the upstreams announce themselves asynchronously
+     * @throws IOException if a process can't be started
      */
     public static Fleet start(Workload workload, FleetOptions options) throws IOException {
         Fleet fleet = new Fleet(workload, options, Files.createTempDirectory("verbenadyke"));
@@ -57,7 +57,7 @@
     /**
      * Returns the servers.
      *
-     * @return in the order of the workload
+     * @return the servers, in the order of the workload
      */
     public List<Server> servers() {
         return List.copyOf(servers);
@@ -66,15 +66,15 @@
     /**
      * Returns the servers of a service.
      *
-     * @param service the service
-     * @return its servers
+     * @param service the service's name
+     * @return the servers of the service
      */
     public List<Server> servers(String service) {
         return servers.stream().filter(s -> s.service().equals(service)).toList();
     }
 
     /**
-     * Returns where the log listens.
+     * Returns the address of the stand-in log.
      *
      * @return the address
      */
@@ -94,20 +94,20 @@
     }
 
     /**
-     * Starts a server's processes again, with nothing kept.
+     * Restarts a server's processes without any state of the earlier ones.
      *
      * @param server the server
-     * @throws IOException when a process can't be started
+     * @throws IOException if a process can't be started
      */
     public void restart(Server server) throws IOException {
         server.start(launch(server.id() + "-node", nodeCommand(server)), upstreamProcess(server));
     }
 
     /**
-     * Starts a server's node again, with nothing kept, beside the upstream that goes on.
+     * Restarts a server's node without any state of the earlier one; the colocated upstream keeps running.
      *
      * @param server the server
-     * @throws IOException when the process can't be started
+     * @throws IOException if the process can't be started
      */
     public void restartNode(Server server) throws IOException {
         server.start(
@@ -116,22 +116,23 @@
     }
 
     private void startAll() throws IOException {
-        int count = workload.services().values().stream()
+        int serverCount = workload.services().values().stream()
                 .mapToInt(Workload.Service::servers)
                 .sum();
-        List<Integer> ports = freePorts(1 + count * PORTS_PER_SERVER);
+        List<Integer> ports = freePorts(1 + serverCount * PORTS_PER_SERVER);
         log = new Endpoint(HOST, ports.removeLast());
-        logProcess = launch("log", java("org.verbenadyke.standins.log.LogMain", log.toString()));
-        int n = 0;
+        logProcess = launch("log", javaCommand("org.verbenadyke.standins.log.LogMain", log.toString()));
+        int serverIndex = 0;
         for (Workload.Service service : workload.services().values()) {
             for (int i = 1; i <= service.servers(); i++) {
-                List<Endpoint> ends = ports.subList(n * PORTS_PER_SERVER, (n + 1) * PORTS_PER_SERVER).stream()
-                        .map(p -> new Endpoint(HOST, p))
-                        .toList();
-                String dataCentre =
-                        workload.dataCentres().get(n % workload.dataCentres().size());
-                servers.add(Server.of(service.name() + "-" + i, service.name(), dataCentre, ends));
-                n++;
+                List<Endpoint> endpoints =
+                        ports.subList(serverIndex * PORTS_PER_SERVER, (serverIndex + 1) * PORTS_PER_SERVER).stream()
+                                .map(p -> new Endpoint(HOST, p))
+                                .toList();
+                String dataCentre = workload.dataCentres()
+                        .get(serverIndex % workload.dataCentres().size());
+                servers.add(Server.of(service.name() + "-" + i, service.name(), dataCentre, endpoints));
+                serverIndex++;
             }
         }
         for (Server server : servers) {
@@ -150,14 +151,14 @@
         node.append("[log]\naddress = " + log + "\n");
         node.append("[policy]\npreset = " + options.preset() + "\n");
         Files.writeString(nodeFile(s), node);
-        StringBuilder up = new StringBuilder();
-        up.append("[upstream]\nservice = " + s.service() + "\nlisten = " + s.address() + "\n");
-        up.append("node = " + s.local() + "\neffects = " + log + "\n");
-        up.append("slots = " + service.slots() + "\nqueue = " + service.slots() + "\n");
-        up.append("service-ms = " + service.serviceMillis() + "\ncold-ms = " + service.coldMillis() + "\n");
-        up.append("fail-percent = " + service.failPercent() + "\n[calls]\n");
-        service.calls().forEach((op, calls) -> up.append(op + " = " + String.join(" ", calls) + "\n"));
-        Files.writeString(upstreamFile(s), up);
+        StringBuilder upstream = new StringBuilder();
+        upstream.append("[upstream]\nservice = " + s.service() + "\nlisten = " + s.address() + "\n");
+        upstream.append("node = " + s.local() + "\neffects = " + log + "\n");
+        upstream.append("slots = " + service.slots() + "\nqueue = " + service.slots() + "\n");
+        upstream.append("service-ms = " + service.serviceMillis() + "\ncold-ms = " + service.coldMillis() + "\n");
+        upstream.append("fail-percent = " + service.failPercent() + "\n[calls]\n");
+        service.calls().forEach((op, calls) -> upstream.append(op + " = " + String.join(" ", calls) + "\n"));
+        Files.writeString(upstreamFile(s), upstream);
     }
 
     private Path nodeFile(Server s) {
@@ -175,11 +176,12 @@
     }
 
     private Process upstreamProcess(Server s) throws IOException {
-        String main = "org.verbenadyke.standins.upstream.UpstreamMain";
-        return launch(s.id() + "-upstream", java(main, upstreamFile(s).toString()));
+        String mainClass = "org.verbenadyke.standins.upstream.UpstreamMain";
+        return launch(
+                s.id() + "-upstream", javaCommand(mainClass, upstreamFile(s).toString()));
     }
 
-    private List<String> java(String main, String argument) {
+    private List<String> javaCommand(String mainClass, String argument) {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return List.of(
                 java,
@@ -192,7 +194,7 @@
                 "--enable-native-access=ALL-UNNAMED",
                 "-cp",
                 System.getProperty("java.class.path"),
-                main,
+                mainClass,
                 argument);
     }
 
@@ -208,7 +210,7 @@
         processes.forEach(Process::destroy);
         for (Process p : processes) {
             try {
-                if (!p.waitFor(STOP_SECONDS, TimeUnit.SECONDS)) {
+                if (!p.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                     p.destroyForcibly();
                 }
             } catch (InterruptedException e) {
@@ -237,7 +239,7 @@
     }
 
     /**
-     * Returns where the processes write what they say.
+     * Returns the folder of the processes' settings and logs.
      *
      * @return the folder
      */
--- a/standins/src/main/java/org/verbenadyke/standins/run/FleetReadiness.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/FleetReadiness.java
@@ -12,16 +12,16 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Finds out whether every node of a fleet knows an upstream beside every other. On a busy machine an upstream may
- * announce itself some seconds late; a fleet that loses the only one known of its service till then serves nothing.
+ * Waits until every node of a fleet knows the upstreams of all nodes. On a busy machine an upstream may announce itself
+ * some seconds late; if the only known upstream of a service is lost before then, the service can't serve any request.
  */
 final class FleetReadiness {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration ANSWER_MOST = Duration.ofSeconds(2);
-    private static final long PAUSE_MILLIS = 200;
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
-    /** How often it looks: half a minute, three times the longest delay seen. */
-    private static final int LOOKS_MOST = 150;
+    /** Half a minute of polls, three times the longest announcement delay seen. */
+    private static final int MAX_POLLS = 150;
 
     private final HttpClient http = HttpClient.newHttpClient();
     private final List<Server> servers;
@@ -34,19 +34,19 @@
         return new FleetReadiness(servers);
     }
 
-    /** Waits until every node knows every upstream; false when that takes too long. */
+    /** Waits until every node knows every upstream; false on timeout. */
     boolean await() throws InterruptedException {
-        for (int i = 0; i < LOOKS_MOST; i++) {
-            if (allKnown()) {
+        for (int i = 0; i < MAX_POLLS; i++) {
+            if (everyNodeKnowsAllUpstreams()) {
                 return true;
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         return false;
     }
 
-    /** Counts the members of a status that have an upstream which takes work. */
-    static int serving(JsonNode status) {
+    /** Counts the members in a status document whose upstream accepts calls. */
+    static int countServing(JsonNode status) {
         int count = 0;
         for (JsonNode m : status.path("members")) {
             boolean alive = m.path("state").asText().equals("alive");
@@ -55,24 +55,24 @@
         return count;
     }
 
-    private boolean allKnown() throws InterruptedException {
+    private boolean everyNodeKnowsAllUpstreams() throws InterruptedException {
         for (Server s : servers) {
-            if (known(s) < servers.size()) {
+            if (countKnownUpstreams(s) < servers.size()) {
                 return false;
             }
         }
         return true;
     }
 
-    private int known(Server server) throws InterruptedException {
+    private int countKnownUpstreams(Server server) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + server.control() + "/status"))
-                .timeout(ANSWER_MOST)
+                .timeout(RESPONSE_TIMEOUT)
                 .build();
         try {
-            return serving(JSON.readTree(
+            return countServing(JSON.readTree(
                     http.send(request, HttpResponse.BodyHandlers.ofString()).body()));
         } catch (IOException e) {
-            System.out.println(server.id() + " does not tell its status yet: " + e.getMessage());
+            System.out.println(server.id() + " doesn't report its status yet: " + e.getMessage());
             return 0;
         }
     }
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartMain.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine;
 
 /**
- * Starts a workload with its nodes as processes, sends requests with some failures thrown in, checks every answer, and
- * stops everything gracefully.
+ * Command line of the quickstart: starts a workload with its nodes as processes, sends requests while a server crashes
+ * and another one drains, verifies every answer, and stops all processes gracefully.
  */
 @CommandLine.Command(name = "quickstart", mixinStandardHelpOptions = true, version = "quickstart 0.1.0")
 public final class QuickstartMain implements Callable<Integer> {
-    private static final int MILLIS = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
     private static final int IO_THREADS = 1;
 
     @CommandLine.Option(names = "--home", required = true, description = "The folder of the project.")
@@ -24,10 +24,16 @@
     @CommandLine.Option(names = "--workload", defaultValue = "heatwell", description = "heatwell or marrowgate.")
     private String workload;
 
-    @CommandLine.Option(names = "--hold", defaultValue = "0", description = "Keep everything up for so many seconds.")
+    @CommandLine.Option(
+            names = "--hold",
+            defaultValue = "0",
+            description = "Keep the fleet running for this many seconds after the load.")
     private int holdSeconds;
 
-    @CommandLine.Option(names = "--preset", defaultValue = "standard", description = "The nodes' policy.")
+    @CommandLine.Option(
+            names = "--preset",
+            defaultValue = "standard",
+            description = "The nodes' policy preset: standard or baseline.")
     private String preset;
 
     private QuickstartMain() {}
@@ -43,24 +49,24 @@
 
     @Override
     public Integer call() throws Exception {
-        Workload w = Workload.read(home.resolve("workloads").resolve(workload + ".ini"));
-        try (Fleet fleet = Fleet.start(w, new FleetOptions(home, preset, IO_THREADS))) {
-            System.out.println("started " + fleet.servers().size() + " servers of " + w.name() + ", a node beside each;"
-                    + " their logs are in " + fleet.folder());
-            Server victim = fleet.servers().getLast();
+        Workload definition = Workload.read(home.resolve("workloads").resolve(workload + ".ini"));
+        try (Fleet fleet = Fleet.start(definition, new FleetOptions(home, preset, IO_THREADS))) {
+            System.out.println("started " + fleet.servers().size() + " servers of " + definition.name()
+                    + ", each with a node;" + " their logs are in " + fleet.folder());
+            Server crashing = fleet.servers().getLast();
             List<Endpoint> entries = fleet.servers().stream()
-                    .filter(s -> s != victim)
+                    .filter(s -> s != crashing)
                     .map(Server::entry)
                     .toList();
             QuickstartRun run;
-            try (Caller caller = Caller.of(w, entries)) {
-                run = QuickstartRun.of(w, fleet, caller);
+            try (Caller caller = Caller.of(definition, entries)) {
+                run = QuickstartRun.of(definition, fleet, caller);
                 run.awaitReady();
-                run.load(victim);
+                run.load(crashing);
             }
             hold(fleet);
             System.out.println(run.summary());
-            return run.clean() ? 0 : 1;
+            return run.passed() ? 0 : 1;
         }
     }
 
@@ -70,6 +76,6 @@
         }
         fleet.servers().forEach(s -> System.out.println("entry http://" + s.entry()));
         fleet.servers().forEach(s -> System.out.println("control " + s.control()));
-        Thread.sleep((long) holdSeconds * MILLIS);
+        Thread.sleep((long) holdSeconds * MILLIS_PER_SECOND);
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/run/Server.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/Server.java
@@ -6,25 +6,25 @@
 import org.verbenadyke.kernel.routing.Endpoint;
 
 /**
- * One server of a fleet: a stand-in upstream and the node beside it.
+ * One server of a fleet: a stand-in upstream and its colocated node.
  */
 public final class Server {
     private final String id;
     private final String service;
     private final String dataCentre;
-    private final List<Endpoint> ends;
+    private final List<Endpoint> endpoints;
     private Process node;
     private Process upstream;
 
-    private Server(String id, String service, String dataCentre, List<Endpoint> ends) {
+    private Server(String id, String service, String dataCentre, List<Endpoint> endpoints) {
         this.id = id;
         this.service = service;
         this.dataCentre = dataCentre;
-        this.ends = ends;
+        this.endpoints = endpoints;
     }
 
-    static Server of(String id, String service, String dataCentre, List<Endpoint> ends) {
-        return new Server(id, service, dataCentre, ends);
+    static Server of(String id, String service, String dataCentre, List<Endpoint> endpoints) {
+        return new Server(id, service, dataCentre, endpoints);
     }
 
     void start(Process newNode, Process newUpstream) {
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Returns the name.
+     * Returns the id of the server, which is also the id of its node.
      *
-     * @return the name of the server and of its node
+     * @return the id
      */
     public String id() {
         return id;
@@ -44,7 +44,7 @@
     /**
      * Returns the service.
      *
-     * @return the service that the upstream serves
+     * @return the service that the upstream provides
      */
     public String service() {
         return service;
@@ -53,61 +53,61 @@
     /**
      * Returns the data centre.
      *
-     * @return its name
+     * @return the data centre's name
      */
     public String dataCentre() {
         return dataCentre;
     }
 
     /**
-     * Returns where the node listens for other nodes.
+     * Returns the address where the node accepts connections of other nodes.
      *
      * @return the address
      */
     public Endpoint peers() {
-        return ends.get(0);
+        return endpoints.get(0);
     }
 
     /**
-     * Returns where the node listens for callers.
+     * Returns the address where the node accepts requests of callers.
      *
      * @return the address
      */
     public Endpoint entry() {
-        return ends.get(1);
+        return endpoints.get(1);
     }
 
     /**
-     * Returns where the node listens for the upstream.
+     * Returns the address where the node accepts requests of its upstream.
      *
      * @return the address
      */
     public Endpoint local() {
-        return ends.get(2);
+        return endpoints.get(2);
     }
 
     /**
-     * Returns where the node listens for operators.
+     * Returns the address where the node accepts requests of operators.
      *
      * @return the address
      */
     public Endpoint control() {
-        return ends.get(3);
+        return endpoints.get(3);
     }
 
     /**
-     * Returns where the upstream listens.
+     * Returns the address where the upstream accepts calls.
      *
      * @return the address
      */
     public Endpoint address() {
-        return ends.get(4);
+        return endpoints.get(4);
     }
 
     /**
      * Returns the node's process.
      *
-     * @return the process, if it was started
+     * @return the process, empty before the start
      */
     public Optional<Process> node() {
         return Optional.ofNullable(node);
@@ -116,7 +116,7 @@
     /**
      * Returns the upstream's process.
      *
-     * @return the process, if it was started
+     * @return the process, empty before the start
      */
     public Optional<Process> upstream() {
         return Optional.ofNullable(upstream);
--- a/standins/src/test/java/org/verbenadyke/standins/run/FleetReadinessTest.java
+++ b/standins/src/test/java/org/verbenadyke/standins/run/FleetReadinessTest.java
@@ -11,7 +11,7 @@
 /** Tests {@link FleetReadiness}. */
 final class FleetReadinessTest {
     @Test
-    void countsOnlyMembersWhoseUpstreamTakesWork() throws IOException {
+    void countsOnlyMembersWhoseUpstreamAcceptsCalls() throws IOException {
         String status = """
                 {"members": [
                   {"node": "a", "state": "alive", "service": "s"},
@@ -19,11 +19,11 @@
                   {"node": "c", "state": "suspect", "service": "s"},
                   {"node": "d", "state": "draining", "service": "s"}
                 ]}""";
-        assertEquals(1, FleetReadiness.serving(new ObjectMapper().readTree(status)));
+        assertEquals(1, FleetReadiness.countServing(new ObjectMapper().readTree(status)));
     }
 
     @Test
-    void countsNobodyInAStatusWithoutMembers() throws IOException {
-        assertEquals(0, FleetReadiness.serving(new ObjectMapper().readTree("{}")));
+    void countsZeroInAStatusWithoutMembers() throws IOException {
+        assertEquals(0, FleetReadiness.countServing(new ObjectMapper().readTree("{}")));
     }
 }
