--- a/standins/src/main/java/org/verbenadyke/standins/log/LogStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/log/LogStandIn.java
@@ -47,9 +47,9 @@
     private LogStandIn() {}
 
     /**
-     * Starts the stand-in on an address.
+     * Starts the stand-in.
      *
-     * @param endpoint where it listens
+     * @param endpoint the address to listen on
      * @return the running stand-in
      * @throws Exception if the address can't be bound
      */
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartMain.java
@@ -52,17 +52,17 @@
         Workload definition = Workload.read(home.resolve("workloads").resolve(workload + ".ini"));
         try (Fleet fleet = Fleet.start(definition, new FleetOptions(home, preset, IO_THREADS))) {
             System.out.println("started " + fleet.servers().size() + " servers of " + definition.name()
-                    + ", each with a node;" + " their logs are in " + fleet.folder());
-            Server crashing = fleet.servers().getLast();
+                    + ", each with a node; their logs are in " + fleet.folder());
+            Server crashingServer = fleet.servers().getLast();
             List<Endpoint> entries = fleet.servers().stream()
-                    .filter(s -> s != crashing)
+                    .filter(s -> s != crashingServer)
                     .map(Server::entry)
                     .toList();
             QuickstartRun run;
             try (Caller caller = Caller.of(definition, entries)) {
                 run = QuickstartRun.of(definition, fleet, caller);
                 run.awaitReady();
-                run.load(crashing);
+                run.load(crashingServer);
             }
             hold(fleet);
             System.out.println(run.summary());
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
@@ -69,18 +69,18 @@
         }
     }
 
-    void load(Server crashing) throws Exception {
+    void load(Server crashingServer) throws Exception {
         CountDownLatch pending = new CountDownLatch(REQUESTS);
-        Server draining = fleet.servers().get(fleet.servers().size() - 3);
+        Server drainingServer = fleet.servers().get(fleet.servers().size() - 3);
         for (int i = 0; i < REQUESTS; i++) {
             if (i == CRASH_AT_REQUEST) {
-                System.out.println("killing " + crashing.id());
-                crashing.upstream().ifPresent(Process::destroyForcibly);
-                crashing.node().ifPresent(Process::destroyForcibly);
+                System.out.println("killing " + crashingServer.id());
+                crashingServer.upstream().ifPresent(Process::destroyForcibly);
+                crashingServer.node().ifPresent(Process::destroyForcibly);
             }
             if (i == DRAIN_AT_REQUEST) {
-                System.out.println("draining " + draining.id());
-                draining.upstream().ifPresent(Process::destroy);
+                System.out.println("draining " + drainingServer.id());
+                drainingServer.upstream().ifPresent(Process::destroy);
             }
             sendOne(i, pending);
             TimeUnit.MICROSECONDS.sleep(REQUEST_INTERVAL_MICROS);
