--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
@@ -93,7 +93,7 @@
             world.after(TIMEOUT_NANOS, () -> taker.accept(new LogService.AppendResult.Unknown("no answer")));
             return;
         }
-        world.after(delay(), () -> taker.accept(new LogService.AppendResult.At(offset)));
+        world.after(delay(), () -> taker.accept(new LogService.AppendResult.Appended(offset)));
     }
 
     private void doRead(String name, long from, long until, Consumer<LogService.ReadResult> taker) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -104,7 +104,7 @@
         upstream.beside(node);
         server.run(node, upstream, world.nanos());
         nodeProcess.after(
-                announcedAfterNanos, () -> node.core().announce(server.spec().name(), upstream));
+                announcedAfterNanos, () -> node.core().attachUpstream(server.spec().name(), upstream));
     }
 
     /** Kills a server's node and upstream. */
@@ -127,7 +127,7 @@
         server.run(server.node(), upstream, world.nanos());
         server.node()
                 .process()
-                .run(() -> server.node().core().announce(server.spec().name(), upstream));
+                .run(() -> server.node().core().attachUpstream(server.spec().name(), upstream));
     }
 
     void advance(long nanos) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
@@ -173,7 +173,7 @@
         lab.world().after(length, () -> {
             if (s.node() == node && s.up()) {
                 s.leaving(false);
-                node.process().run(() -> node.core().announce(s.spec().name(), s.upstream()));
+                node.process().run(() -> node.core().attachUpstream(s.spec().name(), s.upstream()));
             }
         });
     }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingFleet.java
@@ -199,7 +199,7 @@
         }
         EndingUpstream upstream = new EndingUpstream(node.process(), lab.random(), new Beside(server));
         upstreams.put(server, upstream);
-        node.process().run(() -> node.core().announce(server.spec().name(), upstream, SLOTS));
+        node.process().run(() -> node.core().attachUpstream(server.spec().name(), upstream, SLOTS));
     }
 
     private void restart(LabServer server) {
@@ -250,7 +250,7 @@
         public void ended() {
             endsNanos.add(lab.world().nanos());
             LabNode node = server.node();
-            lab.world().after(Lab.MILLI, () -> node.process().run(node.core()::withdraw));
+            lab.world().after(Lab.MILLI, () -> node.process().run(node.core()::detachUpstream));
             killAfterNanos.ifPresent(after -> lab.world().after(after, () -> restart(server)));
             long down = LEAST_DOWN + lab.random().nextLong(Lab.SECOND);
             lab.world().after(down, () -> startUpstream(server));
