--- a/bench/src/main/java/org/verbenadyke/bench/lab/CollectingSink.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/CollectingSink.java
@@ -8,14 +8,14 @@
 import org.verbenadyke.kernel.dispatch.CallHandle;
 
 /**
- * Collects an answer and allows more of it as it comes.
+ * Collects an answer and replenishes flow-control credit as data arrives.
  */
 abstract class CollectingSink implements AnswerSink {
     private final StringBuilder text = new StringBuilder();
     private CallHandle handle;
     private int status;
 
-    void steer(CallHandle newHandle) {
+    void setHandle(CallHandle newHandle) {
         handle = newHandle;
     }
 
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Outages.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/ControlPath.java
@@ -15,48 +15,48 @@
 import org.verbenadyke.kernel.routing.Location;
 
 /**
- * The control path under trouble: a drain, a change of configuration, an outage of the log, silent connections.
+ * Measurements of the control path: a drain, a change of configuration, an outage of the log, silent connections.
  */
-final class Outages {
+final class ControlPath {
     private static final int DATA_CENTRES = 3;
-    private static final long STEP = 10 * Lab.MILLI;
-    private static final long LONGEST = 60 * Lab.SECOND;
-    private static final int RATE = 200;
-    private static final long TTL = 3 * Lab.SECOND;
+    private static final long STEP_NANOS = 10 * Lab.MILLI;
+    private static final long MAX_WAIT_NANOS = 60 * Lab.SECOND;
+    private static final int REQUESTS_PER_SECOND = 200;
+    private static final long TTL_NANOS = 3 * Lab.SECOND;
 
-    private Outages() {}
+    private ControlPath() {}
 
-    /** Creates a service with so many servers and lets them find each other. */
-    private static Lab lab(int servers, long seed) {
+    /** Creates a service with the given number of servers and lets the nodes discover each other. */
+    private static Lab createLab(int servers, long seed) {
         Lab lab = Lab.create(seed, CoreSettings.with(Policy.standard()), false);
-        List<Location> places = new ArrayList<>();
+        List<Location> locations = new ArrayList<>();
         for (int i = 0; i < DATA_CENTRES; i++) {
-            places.add(new Location("r", "dc-" + i));
+            locations.add(new Location("r", "dc-" + i));
         }
-        lab.add(ServiceSpec.of("desk", servers, 50, 4, Operation.of("read"), Operation.once("write")), places);
+        lab.add(ServiceSpec.of("desk", servers, 50, 4, Operation.of("read"), Operation.once("write")), locations);
         lab.startAll();
         lab.advance(6 * Lab.SECOND);
         return lab;
     }
 
-    /** Measures how long a draining upstream still gets calls. */
+    /** Measures for how long a draining upstream still receives calls. */
     static Map<String, Object> drain(int servers, boolean logDown, long seed) {
-        Lab lab = lab(servers, seed);
+        Lab lab = createLab(servers, seed);
         lab.log().outage(logDown);
-        Load load = new Load(lab, RATE * servers / 8);
+        Load load = new Load(lab, REQUESTS_PER_SECOND * servers / 8);
         load.run(2 * Lab.SECOND);
         LabServer leaving = lab.servers().getFirst();
-        leaving.leaving(true);
-        long start = lab.world().nanos();
+        leaving.setLeaving(true);
+        long start = lab.clock().nanos();
         leaving.node().core().drain();
         long before = leaving.node().counters().events(Event.CALL_IN);
         long last = start;
-        for (long t = 0; t < 4 * Lab.SECOND; t += STEP) {
-            load.run(STEP);
+        for (long t = 0; t < 4 * Lab.SECOND; t += STEP_NANOS) {
+            load.run(STEP_NANOS);
             long now = leaving.node().counters().events(Event.CALL_IN);
             if (now > before) {
                 before = now;
-                last = lab.world().nanos();
+                last = lab.clock().nanos();
             }
         }
         lab.advance(5 * Lab.SECOND);
@@ -67,20 +67,20 @@
     }
 
     /** Measures how long a confirmed change takes to be in force on every node. */
-    static Map<String, Object> config(int servers, Consumer<Lab> trouble, long seed) {
-        Lab lab = lab(servers, seed);
-        trouble.accept(lab);
+    static Map<String, Object> config(int servers, Consumer<Lab> fault, long seed) {
+        Lab lab = createLab(servers, seed);
+        fault.accept(lab);
         List<Long> times = new ArrayList<>();
-        long control = lab.net().bytesInDatagrams();
-        long began = lab.world().nanos();
+        long bytesBefore = lab.net().bytesInDatagrams();
+        long began = lab.clock().nanos();
         for (int i = 0; i < 10; i++) {
             times.add(confirmOne(lab, i));
             lab.advance(Lab.SECOND);
         }
-        long seconds = Math.max(1, (lab.world().nanos() - began) / Lab.SECOND);
+        long seconds = Math.max(1, (lab.clock().nanos() - began) / Lab.SECOND);
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("inForceEverywhereMs", times);
-        figures.put("gossipBytesPerNodeAndSecond", (lab.net().bytesInDatagrams() - control) / seconds / servers);
+        figures.put("gossipBytesPerNodeAndSecond", (lab.net().bytesInDatagrams() - bytesBefore) / seconds / servers);
         return figures;
     }
 
@@ -94,114 +94,114 @@
                 List.of(),
                 Set.of(),
                 "bench",
-                lab.world().wallMillis());
-        long start = lab.world().nanos();
+                lab.clock().wallMillis());
+        long start = lab.clock().nanos();
         through.node().core().config().confirm(change, outcome -> {});
-        while (lab.world().nanos() - start < LONGEST) {
-            lab.advance(STEP / 2);
+        while (lab.clock().nanos() - start < MAX_WAIT_NANOS) {
+            lab.advance(STEP_NANOS / 2);
             boolean everywhere = lab.servers().stream()
                     .allMatch(s -> s.node().core().engine().configuration().version() > base.version());
             if (everywhere) {
-                return (lab.world().nanos() - start) / Lab.MILLI;
+                return (lab.clock().nanos() - start) / Lab.MILLI;
             }
         }
         return -1;
     }
 
-    /** Measures goodput through an outage of the log and what the log gets at its end. */
+    /** Measures goodput before, during and after an outage of the log, and the appends after the outage. */
     static Map<String, Object> outage(long seed) {
-        Lab lab = lab(24, seed);
-        Load load = new Load(lab, RATE);
+        Lab lab = createLab(24, seed);
+        Load load = new Load(lab, REQUESTS_PER_SECOND);
         Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("goodputBefore", load.share(10 * Lab.SECOND));
+        figures.put("goodputBefore", load.goodputShare(10 * Lab.SECOND));
         lab.log().outage(true);
-        figures.put("goodputDuring", load.share(60 * Lab.SECOND));
+        figures.put("goodputDuring", load.goodputShare(60 * Lab.SECOND));
         lab.kill(lab.servers().get(5));
         lab.advance(Lab.SECOND);
         lab.start(lab.servers().get(5));
-        long started = lab.world().nanos();
+        long started = lab.clock().nanos();
         LabServer newcomer = lab.servers().get(5);
         while (newcomer.node().core().members().present().size() < 24
-                && lab.world().nanos() - started < LONGEST) {
-            lab.advance(STEP);
+                && lab.clock().nanos() - started < MAX_WAIT_NANOS) {
+            lab.advance(STEP_NANOS);
         }
-        figures.put("newcomerReadyDuringOutageMs", (lab.world().nanos() - started) / Lab.MILLI);
+        figures.put("newcomerReadyDuringOutageMs", (lab.clock().nanos() - started) / Lab.MILLI);
         long appends = lab.log().appends();
         lab.log().outage(false);
-        figures.put("goodputAfter", load.share(10 * Lab.SECOND));
+        figures.put("goodputAfter", load.goodputShare(10 * Lab.SECOND));
         figures.put("appendsInTenSecondsAfter", lab.log().appends() - appends);
         return figures;
     }
 
-    /** Measures how connections that carry nothing any more are found. */
+    /** Measures how soon connections that silently stopped carrying data are detected. */
     static Map<String, Object> silent(long seed) {
-        Lab lab = lab(8, seed);
-        Load load = new Load(lab, RATE);
+        Lab lab = createLab(8, seed);
+        Load load = new Load(lab, REQUESTS_PER_SECOND);
         load.run(3 * Lab.SECOND);
-        long start = lab.world().nanos();
+        long start = lab.clock().nanos();
         int silenced = lab.net().silence(1);
-        long found = -1;
-        for (long t = 0; t < 4 * Lab.SECOND; t += STEP) {
-            load.run(STEP);
-            boolean all = lab.servers().stream()
+        long detectedAfter = -1;
+        for (long t = 0; t < 4 * Lab.SECOND; t += STEP_NANOS) {
+            load.run(STEP_NANOS);
+            boolean detected = lab.servers().stream()
                             .mapToLong(s -> s.node().counters().events(Event.LINK_SILENT))
                             .sum()
                     > 0;
-            if (all && found < 0) {
-                found = lab.world().nanos() - start;
+            if (detected && detectedAfter < 0) {
+                detectedAfter = lab.clock().nanos() - start;
             }
         }
         lab.advance(6 * Lab.SECOND);
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("silenced", silenced);
-        figures.put("firstFoundAfterMs", found / Lab.MILLI);
+        figures.put("firstFoundAfterMs", detectedAfter / Lab.MILLI);
         figures.put("sent", load.sent);
         figures.put("answers", load.answers);
-        figures.put("doubled", load.doubled());
+        figures.put("doubled", load.writesRunTwice());
         figures.put("breaches", lab.breaches().size());
         return figures;
     }
 
     /**
-     * A steady demand of reads and writes.
+     * Steady demand, one write to three reads.
      */
     private static final class Load {
         private final Lab lab;
         private final LabCaller caller;
-        private final int rate;
+        private final int requestsPerSecond;
         private final Map<String, Integer> answers = new LinkedHashMap<>();
         private final List<String> writes = new ArrayList<>();
-        private double owed;
+        private double dueRequests;
         private long sent;
 
-        private Load(Lab lab, int rate) {
+        private Load(Lab lab, int requestsPerSecond) {
             this.lab = lab;
             this.caller = new LabCaller(lab);
-            this.rate = rate;
+            this.requestsPerSecond = requestsPerSecond;
         }
 
         void run(long nanos) {
-            long end = lab.world().nanos() + nanos;
-            while (lab.world().nanos() < end) {
-                long step = Math.min(STEP, end - lab.world().nanos());
-                owed += (double) rate * step / Lab.SECOND;
-                while (owed >= 1) {
-                    owed--;
+            long end = lab.clock().nanos() + nanos;
+            while (lab.clock().nanos() < end) {
+                long step = Math.min(STEP_NANOS, end - lab.clock().nanos());
+                dueRequests += (double) requestsPerSecond * step / Lab.SECOND;
+                while (dueRequests >= 1) {
+                    dueRequests--;
                     send();
                 }
                 lab.advance(step);
             }
         }
 
-        double share(long nanos) {
+        double goodputShare(long nanos) {
             int wholeBefore = answers.getOrDefault("whole", 0);
             long sentBefore = sent;
             run(nanos);
             return (double) (answers.getOrDefault("whole", 0) - wholeBefore) / (sent - sentBefore);
         }
 
-        long doubled() {
-            return writes.stream().filter(w -> lab.effects().effects(w) > 1).count();
+        long writesRunTwice() {
+            return writes.stream().filter(w -> lab.effects().effectCount(w) > 1).count();
         }
 
         private void send() {
@@ -215,7 +215,7 @@
             if (write) {
                 writes.add(id);
             }
-            caller.send(kind, id, key, TTL, entry, a -> answers.merge(a.label(), 1, Integer::sum));
+            caller.send(kind, id, key, TTL_NANOS, entry, a -> answers.merge(a.label(), 1, Integer::sum));
         }
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Capacity.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/ControlTraffic.java
@@ -13,18 +13,18 @@
 /**
  * Measures the control traffic of a node and how it grows with the number of nodes and with events.
  */
-final class Capacity {
-    private static final int[] SIZES = {18, 72, 144};
+final class ControlTraffic {
+    private static final int[] NODE_COUNTS = {18, 72, 144};
     private static final int DATA_CENTRES = 18;
-    private static final long IDLE = 20 * Lab.SECOND;
-    private static final long WARM_UP = 40 * Lab.SECOND;
+    private static final long IDLE_NANOS = 20 * Lab.SECOND;
+    private static final long WARM_UP_NANOS = 40 * Lab.SECOND;
     private static final int EVENTS = 10;
 
-    private Capacity() {}
+    private ControlTraffic() {}
 
     static Map<String, Object> run(long seed) {
         Map<String, Object> figures = new LinkedHashMap<>();
-        for (int n : SIZES) {
+        for (int n : NODE_COUNTS) {
             figures.put(n + " nodes", measure(n, seed));
         }
         return figures;
@@ -38,24 +38,24 @@
         }
         lab.add(ServiceSpec.of("s", n, 50, 4, Operation.of("read")), places);
         lab.startAll();
-        lab.advance(WARM_UP);
+        lab.advance(WARM_UP_NANOS);
         Map<String, Object> figures = new LinkedHashMap<>();
         long before = lab.net().bytesInDatagrams();
-        lab.advance(IDLE);
+        lab.advance(IDLE_NANOS);
         long idle = lab.net().bytesInDatagrams() - before;
-        figures.put("idleBytesPerNodeAndSecond", idle * Lab.SECOND / IDLE / n);
+        figures.put("idleBytesPerNodeAndSecond", idle * Lab.SECOND / IDLE_NANOS / n);
         before = lab.net().bytesInDatagrams();
-        long began = lab.world().nanos();
+        long began = lab.clock().nanos();
         long slowest = 0;
         for (int i = 0; i < EVENTS; i++) {
             LabServer changed = lab.servers().get(i);
             long version = changed.node().core().self().version();
             changed.node().core().drain();
-            slowest = Math.max(slowest, spread(lab, changed, version));
+            slowest = Math.max(slowest, spreadNanos(lab, changed, version));
             lab.advance(5 * Lab.SECOND);
         }
         long busy = lab.net().bytesInDatagrams() - before;
-        long share = idle * (lab.world().nanos() - began) / IDLE;
+        long share = idle * (lab.clock().nanos() - began) / IDLE_NANOS;
         figures.put("bytesPerNodeAndEvent", Math.max(0, busy - share) / EVENTS / n);
         figures.put("slowestSpreadMs", slowest / Lab.MILLI);
         figures.put(
@@ -68,15 +68,15 @@
         return figures;
     }
 
-    private static long spread(Lab lab, LabServer changed, long version) {
-        long start = lab.world().nanos();
-        while (!lab.servers().stream().allMatch(s -> knows(s, changed, version))) {
+    private static long spreadNanos(Lab lab, LabServer changed, long version) {
+        long start = lab.clock().nanos();
+        while (!lab.servers().stream().allMatch(s -> hasReceived(s, changed, version))) {
             lab.advance(5 * Lab.MILLI);
         }
-        return lab.world().nanos() - start;
+        return lab.clock().nanos() - start;
     }
 
-    private static boolean knows(LabServer s, LabServer changed, long version) {
+    private static boolean hasReceived(LabServer s, LabServer changed, long version) {
         return s.node()
                 .core()
                 .members()
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Effects.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Effects.java
@@ -6,47 +6,47 @@
 import java.util.Map;
 
 /**
- * What the upstreams of the lab did: the database behind them, seen from outside.
+ * Records the work that emulated upstreams did, like a database shared by all of them.
  */
 final class Effects {
-    private final Map<String, List<String>> runsOnce = new HashMap<>();
-    private final Map<String, List<String>> startsOnce = new HashMap<>();
+    private final Map<String, List<String>> effectsById = new HashMap<>();
+    private final Map<String, List<String>> startsById = new HashMap<>();
     private final Map<String, Map<String, Integer>> runs = new HashMap<>();
 
-    /** Notes the one effect of an operation that must have it at most once. */
-    void effect(String id, String where) {
-        runsOnce.computeIfAbsent(id, i -> new ArrayList<>()).add(where);
+    /** Records an effect that must happen at most once for each request. */
+    void recordEffect(String id, String where) {
+        effectsById.computeIfAbsent(id, i -> new ArrayList<>()).add(where);
     }
 
-    /** Notes that an upstream began to work on an operation that must run at most once. */
-    void started(String id, String where) {
-        startsOnce.computeIfAbsent(id, i -> new ArrayList<>()).add(where);
+    /** Records that an upstream started an operation that must run at most once. */
+    void recordStart(String id, String where) {
+        startsById.computeIfAbsent(id, i -> new ArrayList<>()).add(where);
     }
 
-    /** Returns where and when upstreams began to work on an operation that must run at most once. */
+    /** Returns where and when upstreams started an operation that must run at most once. */
     List<String> starts(String id) {
-        return startsOnce.getOrDefault(id, List.of());
+        return startsById.getOrDefault(id, List.of());
     }
 
-    /** Notes that a service began to work on a request. */
-    void run(String service, String id) {
+    /** Records that a service started to work on a request. */
+    void recordRun(String service, String id) {
         runs.computeIfAbsent(service, s -> new HashMap<>()).merge(id, 1, Integer::sum);
     }
 
-    int effects(String id) {
-        return places(id).size();
+    int effectCount(String id) {
+        return occurrences(id).size();
     }
 
     /** Returns where and when the effect happened. */
-    List<String> places(String id) {
-        return runsOnce.getOrDefault(id, List.of());
+    List<String> occurrences(String id) {
+        return effectsById.getOrDefault(id, List.of());
     }
 
     Map<String, Integer> runs(String service) {
         return runs.getOrDefault(service, Map.of());
     }
 
-    Map<String, Map<String, Integer>> all() {
+    Map<String, Map<String, Integer>> runsByService() {
         return runs;
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
@@ -12,24 +12,24 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * The log of the lab, with outages, slowness, answers lost after the append took effect, and retention.
+ * An in-memory log with outages, delays, replies lost after the append took effect, and retention.
  */
 final class FakeLog {
     private static final long MILLI = 1_000_000L;
     private static final long TIMEOUT_NANOS = 2_000 * MILLI;
     private static final int BATCH = 500;
 
-    private final TimerService world;
+    private final TimerService clock;
     private final RandomGenerator random;
     private final Map<String, Stream> streams = new TreeMap<>();
     private boolean outage;
     private long slowNanos;
-    private double loss;
+    private double lostAnswerShare;
     private int retention = Integer.MAX_VALUE;
     private long appends;
 
-    FakeLog(TimerService world, RandomGenerator random) {
-        this.world = world;
+    FakeLog(TimerService clock, RandomGenerator random) {
+        this.clock = clock;
         this.random = random;
     }
 
@@ -42,11 +42,11 @@
     }
 
     void loseAnswers(double share) {
-        loss = share;
+        lostAnswerShare = share;
     }
 
-    void retain(int most) {
-        retention = most;
+    void retain(int maxRecords) {
+        retention = maxRecords;
         streams.values().forEach(this::trim);
     }
 
@@ -54,23 +54,23 @@
         return appends;
     }
 
-    /** Returns the log as one process sees it. */
-    LogService seenBy(NodeTimers process) {
+    /** Returns the log service of one process; callbacks run in that process. */
+    LogService seenBy(ProcessTimers process) {
         return new LogService() {
             @Override
-            public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
-                world.after(delay(), () -> doAppend(stream, record, a -> process.run(() -> taker.accept(a))));
+            public void append(String stream, String key, byte[] record, Consumer<AppendResult> callback) {
+                clock.after(delay(), () -> doAppend(stream, record, a -> process.run(() -> callback.accept(a))));
             }
 
             @Override
-            public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> taker) {
-                world.after(
+            public void read(String stream, long fromOffset, long waitMillis, Consumer<ReadResult> callback) {
+                clock.after(
                         delay(),
                         () -> doRead(
                                 stream,
                                 fromOffset,
-                                world.nanos() + waitMillis * MILLI,
-                                r -> process.run(() -> taker.accept(r))));
+                                clock.nanos() + waitMillis * MILLI,
+                                r -> process.run(() -> callback.accept(r))));
             }
         };
     }
@@ -79,9 +79,9 @@
         return MILLI + random.nextLong(2 * MILLI) + slowNanos;
     }
 
-    private void doAppend(String name, byte[] record, Consumer<LogService.AppendResult> taker) {
+    private void doAppend(String name, byte[] record, Consumer<LogService.AppendResult> callback) {
         if (outage) {
-            world.after(delay(), () -> taker.accept(new LogService.AppendResult.Failed("outage")));
+            clock.after(delay(), () -> callback.accept(new LogService.AppendResult.Failed("outage")));
             return;
         }
         appends++;
@@ -89,16 +89,16 @@
         long offset = stream.next++;
         stream.records.put(offset, record);
         trim(stream);
-        if (random.nextDouble() < loss) {
-            world.after(TIMEOUT_NANOS, () -> taker.accept(new LogService.AppendResult.Unknown("no answer")));
+        if (random.nextDouble() < lostAnswerShare) {
+            clock.after(TIMEOUT_NANOS, () -> callback.accept(new LogService.AppendResult.Unknown("no answer")));
             return;
         }
-        world.after(delay(), () -> taker.accept(new LogService.AppendResult.At(offset)));
+        clock.after(delay(), () -> callback.accept(new LogService.AppendResult.At(offset)));
     }
 
-    private void doRead(String name, long from, long until, Consumer<LogService.ReadResult> taker) {
+    private void doRead(String name, long from, long until, Consumer<LogService.ReadResult> callback) {
         if (outage) {
-            world.after(delay(), () -> taker.accept(new LogService.ReadResult.Failed("outage")));
+            clock.after(delay(), () -> callback.accept(new LogService.ReadResult.Failed("outage")));
             return;
         }
         Stream stream = streams.computeIfAbsent(name, n -> new Stream());
@@ -108,13 +108,13 @@
                 found.add(new LogService.LogRecord(o, Optional.empty(), b));
             }
         });
-        if (found.isEmpty() && world.nanos() < until) {
-            world.after(10 * MILLI, () -> doRead(name, from, until, taker));
+        if (found.isEmpty() && clock.nanos() < until) {
+            clock.after(10 * MILLI, () -> doRead(name, from, until, callback));
             return;
         }
         long first = stream.records.isEmpty() ? stream.next : stream.records.firstKey();
         long next = found.isEmpty() ? Math.max(from, first) : found.getLast().offset() + 1;
-        world.after(delay(), () -> taker.accept(new LogService.ReadResult.Records(first, next, found)));
+        clock.after(delay(), () -> callback.accept(new LogService.ReadResult.Records(first, next, found)));
     }
 
     private void trim(Stream stream) {
@@ -124,7 +124,7 @@
     }
 
     /**
-     * One stream.
+     * The records of one stream by offset.
      */
     private static final class Stream {
         private final TreeMap<Long, byte[]> records = new TreeMap<>();
--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeUpstream.java
@@ -20,41 +20,41 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * An upstream of the lab: slots, its own short queue, service time, sheds, failures; honours deadlines and cancellation
- * and calls other services through the node beside it.
+ * An emulated upstream with slots, a short queue of its own, service times, shedding and failures. Honours deadlines
+ * and cancellation, and calls other services through its colocated node.
  */
 final class FakeUpstream implements UpstreamPort {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int FRAGMENT = 16 * 1024;
     private static final int OK = 200;
     private static final int FAILED = 500;
-    private static final int BELOW_FAILED = 502;
+    private static final int NESTED_CALL_FAILED = 502;
     private static final int SHED = 503;
     private static final int TOO_LATE = 504;
-    private static final long RUSH_NANOS = 100_000L;
+    private static final long LOCAL_LATENCY_NANOS = 100_000L;
 
     private final ServiceSpec spec;
-    private final NodeTimers process;
+    private final ProcessTimers process;
     private final RandomGenerator random;
     private final Effects effects;
     private final Deque<Work> queue = new ArrayDeque<>();
     private final List<Work> active = new ArrayList<>();
     private LabNode node;
-    private int queueMost;
+    private int maxQueue;
     private int busy;
     private double slow = 1;
     private double failShare;
     private boolean unbounded;
 
-    FakeUpstream(ServiceSpec spec, NodeTimers process, RandomGenerator random, Effects effects) {
+    FakeUpstream(ServiceSpec spec, ProcessTimers process, RandomGenerator random, Effects effects) {
         this.spec = spec;
         this.process = process;
         this.random = random;
         this.effects = effects;
-        this.queueMost = Math.max(4, spec.slots() / 2);
+        this.maxQueue = Math.max(4, spec.slots() / 2);
     }
 
-    void beside(LabNode newNode) {
+    void colocateWith(LabNode newNode) {
         node = newNode;
     }
 
@@ -70,24 +70,24 @@
         failShare = share;
     }
 
-    /** Lets it queue without a bound and ignore deadlines, as in the baseline. */
+    /** Makes the upstream queue without a bound and ignore deadlines and cancellation, as in the baseline. */
     void naive() {
         unbounded = true;
-        queueMost = Integer.MAX_VALUE;
+        maxQueue = Integer.MAX_VALUE;
     }
 
     boolean idle() {
         return active.isEmpty() && queue.isEmpty();
     }
 
-    /** Ends the process: exchanges under way break. */
+    /** Kills the process; the exchanges in flight fail. */
     void kill() {
         process.kill();
         List<Work> all = new ArrayList<>(active);
         all.addAll(queue);
         active.clear();
         queue.clear();
-        all.forEach(w -> w.tell(w.listener::upstreamCrashed));
+        all.forEach(w -> w.notifyNode(w.listener::upstreamCrashed));
     }
 
     boolean killed() {
@@ -95,13 +95,13 @@
     }
 
     /**
-     * Takes notice that the node beside it is gone: works on without anybody to answer to, and the calls that it made
-     * through the node have failed.
+     * Handles the crash of the colocated node: requests in progress run on but their answers are discarded, and the
+     * nested calls made through the node fail.
      */
     void nodeLost() {
         queue.forEach(Work::abandon);
         for (Work w : List.copyOf(active)) {
-            List.copyOf(w.calling).forEach(c -> process.after(RUSH_NANOS, c::aborted));
+            List.copyOf(w.pendingSinks).forEach(c -> process.after(LOCAL_LATENCY_NANOS, c::aborted));
             w.abandon();
         }
     }
@@ -110,10 +110,10 @@
     public Exchange start(HandOver handOver, Listener listener) {
         Work work = new Work(handOver, listener);
         if (process.killed()) {
-            work.tell(listener::unreachable);
+            work.notifyNode(listener::unreachable);
             return work;
         }
-        process.after(RUSH_NANOS, () -> arrive(work));
+        process.after(LOCAL_LATENCY_NANOS, () -> arrive(work));
         return work;
     }
 
@@ -123,7 +123,7 @@
         }
         if (busy < spec.slots()) {
             begin(work);
-        } else if (queue.size() < queueMost) {
+        } else if (queue.size() < maxQueue) {
             queue.add(work);
         } else {
             work.answer(SHED, "");
@@ -132,7 +132,7 @@
 
     private void begin(Work work) {
         busy++;
-        work.holds = true;
+        work.holdsSlot = true;
         active.add(work);
         double mean = spec.serviceMillis() * slow;
         long time = (long) (mean * (0.75 + random.nextDouble() / 2) * NANOS_PER_MILLI);
@@ -140,18 +140,18 @@
             work.answer(TOO_LATE, "");
             return;
         }
-        effects.run(spec.name(), work.id());
+        effects.recordRun(spec.name(), work.id());
         if (work.operation.once()) {
-            effects.started(work.id(), work.whereAndWhen());
+            effects.recordStart(work.id(), work.serverAndTime());
         }
         if (random.nextDouble() < failShare) {
             process.after(time / 4, () -> work.answer(FAILED, ""));
             return;
         }
-        process.after(time, () -> work.callBelow(0, ""));
+        process.after(time, () -> work.callNext(0, ""));
     }
 
-    private void next() {
+    private void releaseSlot() {
         busy--;
         Work w = queue.poll();
         if (w != null) {
@@ -160,17 +160,17 @@
     }
 
     /**
-     * One call at work.
+     * One call that is queued or running.
      */
     private final class Work implements Exchange {
-        private final LabNode from = node;
+        private final LabNode startedUnder = node;
         private final HandOver handOver;
         private final Listener listener;
         private final Operation operation;
         private final long deadline;
-        private final List<CallHandle> below = new ArrayList<>();
-        private final Set<Collected> calling = new LinkedHashSet<>();
-        private boolean holds;
+        private final List<CallHandle> nestedCalls = new ArrayList<>();
+        private final Set<NestedCallSink> pendingSinks = new LinkedHashSet<>();
+        private boolean holdsSlot;
         private boolean ended;
         private boolean abandoned;
         private byte[] body;
@@ -189,64 +189,64 @@
             return path.substring(path.indexOf("id=") + 3);
         }
 
-        String whereAndWhen() {
-            return from.core().self().upstreamId() + " at " + process.nanos() / Lab.MILLI;
+        String serverAndTime() {
+            return startedUnder.core().self().upstreamId() + " at " + process.nanos() / Lab.MILLI;
         }
 
-        void callBelow(int index, String before) {
+        void callNext(int index, String collected) {
             if (ended) {
                 return;
             }
             if (operation.parallel() && index == 0 && !operation.calls().isEmpty()) {
-                callAll();
+                callInParallel();
                 return;
             }
             if (index == operation.calls().size()) {
                 if (operation.once()) {
-                    effects.effect(id(), whereAndWhen());
+                    effects.recordEffect(id(), serverAndTime());
                 }
-                answer(OK, before);
+                answer(OK, collected);
                 return;
             }
             call(operation.calls().get(index), result -> {
                 if (result.isEmpty()) {
-                    answer(BELOW_FAILED, "");
+                    answer(NESTED_CALL_FAILED, "");
                 } else {
-                    callBelow(index + 1, before + result.get());
+                    callNext(index + 1, collected + result.get());
                 }
             });
         }
 
-        private void callAll() {
+        private void callInParallel() {
             int n = operation.calls().size();
             String[] results = new String[n];
-            int[] open = {n};
+            int[] pending = {n};
             for (int i = 0; i < n; i++) {
-                int at = i;
+                int index = i;
                 call(operation.calls().get(i), result -> {
-                    results[at] = result.orElse(null);
-                    if (--open[0] == 0) {
+                    results[index] = result.orElse(null);
+                    if (--pending[0] == 0) {
                         boolean failed = false;
                         StringBuilder all = new StringBuilder();
                         for (String r : results) {
                             failed |= r == null;
                             all.append(r);
                         }
-                        answer(failed ? BELOW_FAILED : OK, failed ? "" : all.toString());
+                        answer(failed ? NESTED_CALL_FAILED : OK, failed ? "" : all.toString());
                     }
                 });
             }
         }
 
-        private void call(String target, Consumer<Optional<String>> taker) {
+        private void call(String target, Consumer<Optional<String>> callback) {
             String service = target.substring(0, target.indexOf('/'));
             String path = target.substring(target.indexOf('/')) + "?id=" + id();
             InboundRequest inbound = new InboundRequest(
                     service, new Message.Content("GET", path, List.of(), new byte[0]), "", Optional.empty());
-            Collected sink = new Collected(this, taker);
-            calling.add(sink);
+            NestedCallSink sink = new NestedCallSink(this, callback);
+            pendingSinks.add(sink);
             if (node.process().killed()) {
-                process.after(RUSH_NANOS, sink::aborted);
+                process.after(LOCAL_LATENCY_NANOS, sink::aborted);
                 return;
             }
             node.process()
@@ -254,8 +254,8 @@
                             .engine()
                             .submitNested(handOver.contextToken(), inbound, sink)
                             .ifPresent(h -> {
-                                sink.steer(h);
-                                below.add(h);
+                                sink.setHandle(h);
+                                nestedCalls.add(h);
                             }));
         }
 
@@ -263,21 +263,21 @@
             if (ended) {
                 return;
             }
-            String words = spec.name() + "/" + operation.name() + "?id=" + id() + "(" + text + ")";
-            body = status == OK ? words.getBytes(StandardCharsets.UTF_8) : new byte[0];
+            String answer = spec.name() + "/" + operation.name() + "?id=" + id() + "(" + text + ")";
+            body = status == OK ? answer.getBytes(StandardCharsets.UTF_8) : new byte[0];
             if (status == OK && operation.bytes() > 0) {
                 body = Arrays.copyOf(body, operation.bytes());
             }
-            if (abandoned || from.process().killed()) {
+            if (abandoned || startedUnder.process().killed()) {
                 finish();
                 return;
             }
-            tell(() -> listener.head(status, List.of(new HeaderField("content-type", "text/plain"))));
+            notifyNode(() -> listener.head(status, List.of(new HeaderField("content-type", "text/plain"))));
         }
 
         @Override
         public void request() {
-            process.after(RUSH_NANOS, () -> {
+            process.after(LOCAL_LATENCY_NANOS, () -> {
                 if (ended || body == null) {
                     return;
                 }
@@ -285,11 +285,11 @@
                 if (n > 0) {
                     byte[] part = Arrays.copyOfRange(body, sent, sent + n);
                     sent += n;
-                    tell(() -> listener.data(part));
+                    notifyNode(() -> listener.data(part));
                 }
                 if (sent == body.length) {
                     finish();
-                    tell(listener::end);
+                    notifyNode(listener::end);
                 }
             });
         }
@@ -297,19 +297,19 @@
         @Override
         public void cancel() {
             if (unbounded) {
-                process.after(RUSH_NANOS, this::abandon);
+                process.after(LOCAL_LATENCY_NANOS, this::abandon);
                 return;
             }
-            process.after(RUSH_NANOS, () -> {
+            process.after(LOCAL_LATENCY_NANOS, () -> {
                 if (!ended) {
                     queue.remove(this);
-                    below.forEach(CallHandle::cancel);
+                    nestedCalls.forEach(CallHandle::cancel);
                     finish();
                 }
             });
         }
 
-        /** Works on for nobody, as an upstream does that isn't told. */
+        /** Keeps the call running but discards its answer, as an upstream does that misses the cancellation. */
         private void abandon() {
             abandoned = true;
             if (body != null && !ended) {
@@ -320,49 +320,49 @@
         private void finish() {
             ended = true;
             active.remove(this);
-            if (holds) {
-                holds = false;
-                next();
+            if (holdsSlot) {
+                holdsSlot = false;
+                releaseSlot();
             }
         }
 
-        private void tell(Runnable news) {
-            from.process().after(RUSH_NANOS, news);
+        private void notifyNode(Runnable event) {
+            startedUnder.process().after(LOCAL_LATENCY_NANOS, event);
         }
     }
 
     /**
-     * Collects the answer of a call below.
+     * Collects the answer of a nested call.
      */
-    private final class Collected extends CollectingSink {
+    private final class NestedCallSink extends CollectingSink {
         private final Work work;
-        private final Consumer<Optional<String>> taker;
+        private final Consumer<Optional<String>> callback;
 
-        private Collected(Work work, Consumer<Optional<String>> taker) {
+        private NestedCallSink(Work work, Consumer<Optional<String>> callback) {
             this.work = work;
-            this.taker = taker;
+            this.callback = callback;
         }
 
         @Override
         public void end() {
-            done(status() == OK ? Optional.of(text()) : Optional.empty());
+            complete(status() == OK ? Optional.of(text()) : Optional.empty());
         }
 
         @Override
         public void refused(Refusal refusal) {
-            done(Optional.empty());
+            complete(Optional.empty());
         }
 
         @Override
         public void aborted() {
-            done(Optional.empty());
+            complete(Optional.empty());
         }
 
-        private void done(Optional<String> result) {
-            if (!work.calling.remove(this)) {
+        private void complete(Optional<String> result) {
+            if (!work.pendingSinks.remove(this)) {
                 return;
             }
-            process.run(() -> taker.accept(result));
+            process.run(() -> callback.accept(result));
         }
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/FaultKind.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FaultKind.java
@@ -1,16 +1,16 @@
 package org.verbenadyke.bench.lab;
 
 /**
- * What goes wrong in a randomised run.
+ * The kinds of faults in a randomised run.
  */
 public enum FaultKind {
-    /** A node and its upstream are killed and started again with nothing kept. */
+    /** A node and its upstream are killed and restarted without any kept state. */
     KILL,
-    /** A node is paused, often for longer than its peers wait. */
+    /** A node is paused, often for longer than the timeouts of its peers. */
     PAUSE,
     /** An upstream alone is killed; it announces itself again later. */
     KILL_UPSTREAM,
-    /** Open connections carry nothing any more. */
+    /** Open connections silently drop all data. */
     SILENCE,
     /** Open connections break. */
     SEVER,
@@ -18,24 +18,24 @@
     LOG_OUTAGE,
     /** The log is slow. */
     LOG_SLOW,
-    /** Answers of the log are lost after the append took effect. */
+    /** Replies of the log are lost after the append took effect. */
     LOG_LOSS,
     /** The log drops all but the last few records. */
     RETENTION,
     /** Two operators confirm different changes at the same moment. */
     RACE,
-    /** An upstream drains and comes back. */
+    /** An upstream drains and is announced again. */
     DRAIN,
-    /** A server stops as planned and is replaced. */
+    /** A server stops gracefully and is replaced. */
     RESTART,
     /** A service slows down. */
     SLOW,
     /** An upstream fails many calls. */
     FAIL,
-    /** Many nodes crash at once and start again at once, at the same addresses; their upstreams go on. */
+    /** Many nodes crash at the same moment and restart soon at the same addresses; their upstreams keep running. */
     CRASH_NODES,
-    /** Many nodes crash at once, some with their upstreams, and start again at once at the same addresses. */
+    /** Many nodes crash at the same moment, some with their upstreams, and restart soon at the same addresses. */
     CRASH_SERVERS,
-    /** The two regions lose each other. */
+    /** The two regions can't reach each other. */
     PARTITION
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Keys.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Keys.java
@@ -3,7 +3,7 @@
 import java.util.UUID;
 
 /**
- * Makes idempotency keys: UUIDs of version 7 at the lab's time.
+ * Generates idempotency keys: version 7 UUIDs with the time of the virtual clock.
  */
 final class Keys {
     private static final int TIME_SHIFT = 16;
@@ -14,7 +14,7 @@
 
     static String at(Lab lab) {
         long high =
-                lab.world().wallMillis() << TIME_SHIFT | VERSION | lab.random().nextLong() & RANDOM_A;
+                lab.clock().wallMillis() << TIME_SHIFT | VERSION | lab.random().nextLong() & RANDOM_A;
         return new UUID(high, Long.MIN_VALUE | lab.random().nextLong() >>> 2).toString();
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -16,8 +16,8 @@
 import org.verbenadyke.kernel.time.VirtualTimerService;
 
 /**
- * The real decision logic of many nodes in one thread on a virtual clock, with small fakes for the net, the log and the
- * upstreams. The same seed gives the same run.
+ * An emulator that runs the production decision logic of many nodes in one thread on a virtual clock, with small fakes
+ * for the network, the log and the upstreams. The same seed gives the same run.
  */
 final class Lab {
     static final long MILLI = 1_000_000L;
@@ -28,14 +28,14 @@
     private static final long NEAR_NANOS = 200_000L;
     private static final long FAR_NANOS = 1_500_000L;
 
-    private final VirtualTimerService world = VirtualTimerService.startingAt(EPOCH_MILLIS);
+    private final VirtualTimerService clock = VirtualTimerService.startingAt(EPOCH_MILLIS);
     private final RandomGenerator random;
     private final VirtualNet net;
     private final FakeLog log;
     private final Effects effects = new Effects();
     private final CoreSettings settings;
     private final List<LabServer> servers = new ArrayList<>();
-    private final Map<Endpoint, Location> places = new LinkedHashMap<>();
+    private final Map<Endpoint, Location> locations = new LinkedHashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private final boolean naive;
     private long incarnations = 1;
@@ -44,21 +44,21 @@
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.settings = settings;
         this.naive = naive;
-        this.net = new VirtualNet(world, random, this::latency);
-        this.log = new FakeLog(world, random);
+        this.net = new VirtualNet(clock, random, this::latency);
+        this.log = new FakeLog(clock, random);
     }
 
-    /** Creates a lab without servers; a naive one has upstreams that queue without a bound. */
+    /** Creates an emulator without servers; {@code naive} makes upstreams queue without a bound, as in the baseline. */
     static Lab create(long seed, CoreSettings settings, boolean naive) {
         return new Lab(seed, settings, naive);
     }
 
-    void add(ServiceSpec spec, List<Location> over) {
+    void add(ServiceSpec spec, List<Location> locationCycle) {
         for (int i = 0; i < spec.servers(); i++) {
             Endpoint endpoint = new Endpoint("10.0.0." + servers.size(), PORT);
-            Location place = over.get(servers.size() % over.size());
-            LabServer server = new LabServer(spec.name() + "-" + (i + 1), spec, endpoint, place);
-            places.put(endpoint, place);
+            Location location = locationCycle.get(servers.size() % locationCycle.size());
+            LabServer server = new LabServer(spec.name() + "-" + (i + 1), spec, endpoint, location);
+            locations.put(endpoint, location);
             servers.add(server);
         }
     }
@@ -67,9 +67,9 @@
         servers.forEach(this::start);
     }
 
-    /** Starts a server's processes with nothing kept. */
+    /** Starts a server's node and upstream without any state of an earlier run. */
     void start(LabServer server) {
-        FakeUpstream upstream = new FakeUpstream(server.spec(), new NodeTimers(world), random, effects);
+        FakeUpstream upstream = new FakeUpstream(server.spec(), new ProcessTimers(clock), random, effects);
         if (naive) {
             upstream.naive();
         }
@@ -77,17 +77,19 @@
     }
 
     /**
-     * Starts a server's node with nothing kept, beside the upstream that went on meanwhile or a new one in its place.
+     * Starts a server's node without any state of an earlier run, colocated with the upstream that kept running or, if
+     * that one was killed, with a new one.
      */
     void restartNode(LabServer server, long announcedAfterNanos) {
         FakeUpstream old = server.upstream();
-        boolean gone = old.killed();
-        FakeUpstream upstream = gone ? new FakeUpstream(server.spec(), new NodeTimers(world), random, effects) : old;
+        boolean killed = old.killed();
+        FakeUpstream upstream =
+                killed ? new FakeUpstream(server.spec(), new ProcessTimers(clock), random, effects) : old;
         startNode(server, upstream, announcedAfterNanos);
     }
 
     private void startNode(LabServer server, FakeUpstream upstream, long announcedAfterNanos) {
-        NodeTimers nodeProcess = new NodeTimers(world);
+        ProcessTimers nodeProcess = new ProcessTimers(clock);
         Endpoint endpoint = server.endpoint();
         MemberRecord self = new MemberRecord(
                 server.id(),
@@ -96,13 +98,13 @@
                 MemberState.ALIVE,
                 endpoint,
                 endpoint,
-                server.place(),
+                server.location(),
                 "",
-                world.wallMillis(),
+                clock.wallMillis(),
                 0);
         LabNode node = LabNode.start(self, nodeProcess, net, log.seenBy(nodeProcess), random, settings, breaches::add);
-        upstream.beside(node);
-        server.run(node, upstream, world.nanos());
+        upstream.colocateWith(node);
+        server.setProcesses(node, upstream, clock.nanos());
         nodeProcess.after(
                 announcedAfterNanos, () -> node.core().announce(server.spec().name(), upstream));
     }
@@ -113,29 +115,29 @@
         server.upstream().kill();
     }
 
-    /** Kills a server's node; its upstream goes on. */
+    /** Kills a server's node; the upstream keeps running. */
     void crashNode(LabServer server) {
         server.node().process().kill();
-        net.drop(server.endpoint());
+        net.detach(server.endpoint());
         server.upstream().nodeLost();
     }
 
-    /** Starts an upstream in place of a killed one beside a node that went on. */
+    /** Replaces a killed upstream whose node kept running. */
     void replaceUpstream(LabServer server) {
-        FakeUpstream upstream = new FakeUpstream(server.spec(), new NodeTimers(world), random, effects);
-        upstream.beside(server.node());
-        server.run(server.node(), upstream, world.nanos());
+        FakeUpstream upstream = new FakeUpstream(server.spec(), new ProcessTimers(clock), random, effects);
+        upstream.colocateWith(server.node());
+        server.setProcesses(server.node(), upstream, clock.nanos());
         server.node()
                 .process()
                 .run(() -> server.node().core().announce(server.spec().name(), upstream));
     }
 
     void advance(long nanos) {
-        world.advance(nanos);
+        clock.advance(nanos);
     }
 
-    VirtualTimerService world() {
-        return world;
+    VirtualTimerService clock() {
+        return clock;
     }
 
     RandomGenerator random() {
@@ -166,12 +168,12 @@
         return servers.stream().filter(s -> s.spec().name().equals(service)).toList();
     }
 
-    Location place(Endpoint endpoint) {
-        return places.get(endpoint);
+    Location location(Endpoint endpoint) {
+        return locations.get(endpoint);
     }
 
     private long latency(Endpoint from, Endpoint to) {
-        boolean near = places.get(from).equals(places.get(to));
+        boolean near = locations.get(from).equals(locations.get(to));
         long base = near ? NEAR_NANOS : FAR_NANOS;
         return base + random.nextLong(base / 2);
     }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabAnswer.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabAnswer.java
@@ -3,21 +3,21 @@
 import org.verbenadyke.kernel.call.Refusal;
 
 /**
- * What a caller of the lab got.
+ * The answer that an emulated caller received.
  */
 sealed interface LabAnswer {
-    /** The whole right answer. */
+    /** The complete, correct answer. */
     record Whole() implements LabAnswer {}
 
     /**
-     * A whole answer to something else.
+     * A complete answer with unexpected content.
      *
-     * @param text what it said
+     * @param text the received text
      */
     record Wrong(String text) implements LabAnswer {}
 
     /**
-     * A failure that an upstream answered with.
+     * A failure status from an upstream.
      *
      * @param status the HTTP status
      */
@@ -30,11 +30,11 @@
      */
     record Refused(Refusal refusal) implements LabAnswer {}
 
-    /** An answer that was cut short, and the caller could tell. */
+    /** An answer that ended early, detectably for the caller. */
     record CutShort() implements LabAnswer {}
 
     /**
-     * Names the kind, for counting.
+     * Returns the name of this kind of answer, for counting.
      *
      * @return a short text
      */
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabCaller.java
@@ -11,7 +11,7 @@
 import org.verbenadyke.kernel.message.Message;
 
 /**
- * The callers of the lab: each sends one request to a node and checks the whole answer.
+ * Emulated callers: each sends one request to a node and checks the complete answer.
  */
 final class LabCaller {
     private static final int OK = 200;
@@ -25,23 +25,23 @@
         lab.servers().forEach(s -> services.put(s.spec().name(), s.spec()));
     }
 
-    /** Sends a request; the taker is told once, unless the entry node dies. */
-    void send(LabRequest kind, String id, String key, long ttlNanos, LabServer entry, Consumer<LabAnswer> taker) {
+    /** Sends a request; the callback is called once, unless the entry node crashes. */
+    void send(LabRequest kind, String id, String key, long ttlNanos, LabServer entry, Consumer<LabAnswer> callback) {
         String service = kind.target().substring(0, kind.target().indexOf('/'));
         String path = kind.target().substring(kind.target().indexOf('/')) + "?id=" + id;
         Message.Content content = new Message.Content(kind.once() ? "POST" : "GET", path, List.of(), new byte[0]);
         InboundRequest inbound = new InboundRequest(service, content, key, Optional.of(ttlNanos));
         String expected = expected(kind.target(), id);
-        Sink sink = new Sink(
+        CheckingSink sink = new CheckingSink(
                 expected,
                 operation(kind.target()).bytes(),
-                answer -> lab.world().after(CLIENT_NANOS, () -> taker.accept(answer)));
+                answer -> lab.clock().after(CLIENT_NANOS, () -> callback.accept(answer)));
         LabNode node = entry.node();
-        lab.world()
+        lab.clock()
                 .after(
                         CLIENT_NANOS,
                         () -> node.process()
-                                .run(() -> sink.steer(node.core().engine().submit(inbound, sink))));
+                                .run(() -> sink.setHandle(node.core().engine().submit(inbound, sink))));
     }
 
     private Operation operation(String target) {
@@ -52,46 +52,46 @@
 
     private String expected(String target, String id) {
         String service = target.substring(0, target.indexOf('/'));
-        StringBuilder below = new StringBuilder();
+        StringBuilder nested = new StringBuilder();
         for (String call : operation(target).calls()) {
-            below.append(expected(call, id));
+            nested.append(expected(call, id));
         }
-        return service + target.substring(target.indexOf('/')) + "?id=" + id + "(" + below + ")";
+        return service + target.substring(target.indexOf('/')) + "?id=" + id + "(" + nested + ")";
     }
 
     /**
-     * Checks one answer.
+     * Collects one answer and compares it with the expected text.
      */
-    private static final class Sink extends CollectingSink {
+    private static final class CheckingSink extends CollectingSink {
         private final String expected;
         private final int bytes;
-        private final Consumer<LabAnswer> taker;
+        private final Consumer<LabAnswer> callback;
 
-        private Sink(String expected, int bytes, Consumer<LabAnswer> taker) {
+        private CheckingSink(String expected, int bytes, Consumer<LabAnswer> callback) {
             this.expected = expected;
             this.bytes = bytes;
-            this.taker = taker;
+            this.callback = callback;
         }
 
         @Override
         public void end() {
             if (status() != OK) {
-                taker.accept(new LabAnswer.Failed(status()));
+                callback.accept(new LabAnswer.Failed(status()));
                 return;
             }
             boolean whole =
                     bytes == 0 ? text().equals(expected) : text().length() == bytes && text().startsWith(expected);
-            taker.accept(whole ? new LabAnswer.Whole() : new LabAnswer.Wrong(text()));
+            callback.accept(whole ? new LabAnswer.Whole() : new LabAnswer.Wrong(text()));
         }
 
         @Override
         public void refused(Refusal refusal) {
-            taker.accept(new LabAnswer.Refused(refusal));
+            callback.accept(new LabAnswer.Refused(refusal));
         }
 
         @Override
         public void aborted() {
-            taker.accept(new LabAnswer.CutShort());
+            callback.accept(new LabAnswer.CutShort());
         }
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabNode.java
@@ -22,22 +22,22 @@
 import org.verbenadyke.wire.QuarantinedRequestCodec;
 
 /**
- * One node of the lab: the real decision logic on fake time and a fake net.
+ * One node with the production decision logic, on a virtual clock and an emulated network.
  */
 final class LabNode implements VirtualNet.Host {
     private final Endpoint endpoint;
-    private final NodeTimers process;
+    private final ProcessTimers process;
     private final Counters counters = Counters.create();
     private NodeCore core;
 
-    private LabNode(Endpoint endpoint, NodeTimers process) {
+    private LabNode(Endpoint endpoint, ProcessTimers process) {
         this.endpoint = endpoint;
         this.process = process;
     }
 
     static LabNode start(
             MemberRecord self,
-            NodeTimers process,
+            ProcessTimers process,
             VirtualNet net,
             LogService log,
             RandomGenerator random,
@@ -52,7 +52,7 @@
                         List.of(),
                         process,
                         net.transport(endpoint),
-                        (to, message) -> net.datagram(endpoint, to, message),
+                        (to, message) -> net.sendDatagram(endpoint, to, message),
                         log,
                         MemberCodec.create(),
                         QuarantinedRequestCodec.create(),
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public NodeTimers process() {
+    public ProcessTimers process() {
         return process;
     }
 
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void datagram(Endpoint from, GossipMessage message) {
+    public void receiveDatagram(Endpoint from, GossipMessage message) {
         core.received(from, message);
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/LabServer.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/LabServer.java
@@ -4,13 +4,13 @@
 import org.verbenadyke.kernel.routing.Location;
 
 /**
- * One server of the lab: a node and the upstream beside it, which may be replaced.
+ * One emulated server: a node and its colocated upstream, either of which may be replaced.
  */
 final class LabServer {
     private final String id;
     private final ServiceSpec spec;
     private final Endpoint endpoint;
-    private final Location place;
+    private final Location location;
     private LabNode node;
     private FakeUpstream upstream;
     private boolean leaving;
@@ -20,10 +20,10 @@
         this.id = id;
         this.spec = spec;
         this.endpoint = endpoint;
-        this.place = place;
+        this.location = place;
     }
 
-    void run(LabNode newNode, FakeUpstream newUpstream, long nowNanos) {
+    void setProcesses(LabNode newNode, FakeUpstream newUpstream, long nowNanos) {
         node = newNode;
         upstream = newUpstream;
         leaving = false;
@@ -42,8 +42,8 @@
         return endpoint;
     }
 
-    Location place() {
-        return place;
+    Location location() {
+        return location;
     }
 
     LabNode node() {
@@ -62,8 +62,8 @@
         return up() && !node.process().paused() && !leaving;
     }
 
-    void leaving(boolean now) {
-        leaving = now;
+    void setLeaving(boolean newLeaving) {
+        leaving = newLeaving;
     }
 
     boolean leaving() {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/NodeTimers.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/ProcessTimers.java
@@ -7,40 +7,40 @@
 import org.verbenadyke.kernel.time.TimerService;
 
 /**
- * The time as one process of the lab sees it: nothing happens while the process is paused or after it was killed, and
- * what fell due meanwhile happens when it resumes.
+ * The timers of one emulated process. No task runs while the process is paused or after it was killed; tasks that fall
+ * due during a pause run when the process resumes.
  */
-final class NodeTimers implements TimerService {
-    private final TimerService world;
+final class ProcessTimers implements TimerService {
+    private final TimerService clock;
     private final Deque<Runnable> backlog = new ArrayDeque<>();
     private boolean paused;
     private boolean killed;
 
-    NodeTimers(TimerService world) {
-        this.world = world;
+    ProcessTimers(TimerService clock) {
+        this.clock = clock;
     }
 
     @Override
     public long nanos() {
-        return world.nanos();
+        return clock.nanos();
     }
 
     @Override
     public long wallMillis() {
-        return world.wallMillis();
+        return clock.wallMillis();
     }
 
     @Override
     public Subscription after(long delayNanos, Runnable task) {
-        Held held = new Held(task);
-        Subscription inner = world.after(delayNanos, () -> run(held));
+        CancellableTask cancellable = new CancellableTask(task);
+        Subscription inner = clock.after(delayNanos, () -> run(cancellable));
         return () -> {
-            held.task = null;
+            cancellable.task = null;
             inner.cancel();
         };
     }
 
-    /** Runs something in this process, as soon as it can. */
+    /** Runs a task immediately, or on resumption if the process is paused; drops it if the process was killed. */
     void run(Runnable task) {
         if (killed) {
             return;
@@ -77,12 +77,12 @@
     }
 
     /**
-     * A task that may be cancelled while it is held back.
+     * A task that can be cancelled while it waits in the backlog of a paused process.
      */
-    private static final class Held implements Runnable {
+    private static final class CancellableTask implements Runnable {
         private Runnable task;
 
-        private Held(Runnable task) {
+        private CancellableTask(Runnable task) {
             this.task = task;
         }
 
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Scenarios.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Scenarios.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.engine.Policy;
 
 /**
- * The measurements on the virtual clock, each for ours and for the baseline with the same seed.
+ * The measurements on the virtual clock. Those that compare with the baseline run both with the same seed.
  */
 public final class Scenarios {
     private static final int[] DEPTHS = {3, 5, 19};
@@ -15,7 +15,7 @@
     private static final int PERCENT = 100;
     private static final int KILL_SECONDS = 90;
     private static final int KILL_RATE = 100;
-    private static final int[] SIZES = {8, 32, 96};
+    private static final int[] NODE_COUNTS = {8, 32, 96};
 
     private Scenarios() {}
 
@@ -23,7 +23,7 @@
      * Measures a surge.
      *
      * @param workload heatwell or marrowgate
-     * @param seed makes the run the same each time
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> surge(String workload, long seed) {
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Measures chains of failing services.
+     * Measures chains of services that each fail a share of their calls.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> deep(String workload, long seed) {
@@ -54,21 +54,21 @@
     }
 
     /**
-     * Measures silent connections.
+     * Measures how soon connections that silently stopped carrying data are detected.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> silent(String workload, long seed) {
-        return Outages.silent(seed);
+        return ControlPath.silent(seed);
     }
 
     /**
-     * Measures filings while nodes and upstreams are killed, paused past every patience and resumed.
+     * Measures filings while nodes and upstreams are killed, paused for longer than every timeout, and resumed.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> kill(String workload, long seed) {
@@ -83,17 +83,17 @@
     }
 
     /**
-     * Measures how long a leaving upstream still gets calls.
+     * Measures for how long a draining upstream still receives calls.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> drain(String workload, long seed) {
         Map<String, Object> figures = new LinkedHashMap<>();
-        for (int n : SIZES) {
-            figures.put(n + " nodes, log up", Outages.drain(n, false, seed));
-            figures.put(n + " nodes, log down", Outages.drain(n, true, seed));
+        for (int n : NODE_COUNTS) {
+            figures.put(n + " nodes, log up", ControlPath.drain(n, false, seed));
+            figures.put(n + " nodes, log down", ControlPath.drain(n, true, seed));
         }
         return figures;
     }
@@ -101,54 +101,54 @@
     /**
      * Measures how long a confirmed change takes to be in force everywhere.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> config(String workload, long seed) {
         Map<String, Object> figures = new LinkedHashMap<>();
-        for (int n : SIZES) {
-            figures.put(n + " nodes, log up", Outages.config(n, lab -> {}, seed));
+        for (int n : NODE_COUNTS) {
+            figures.put(n + " nodes, log up", ControlPath.config(n, lab -> {}, seed));
             figures.put(
                     n + " nodes, log slow by 1 s",
-                    Outages.config(n, lab -> lab.log().slow(Lab.SECOND), seed));
+                    ControlPath.config(n, lab -> lab.log().slow(Lab.SECOND), seed));
             figures.put(
                     n + " nodes, answers lost",
-                    Outages.config(n, lab -> lab.log().loseAnswers(1), seed));
+                    ControlPath.config(n, lab -> lab.log().loseAnswers(1), seed));
         }
         return figures;
     }
 
     /**
-     * Measures goodput through an outage of the log and after it.
+     * Measures goodput before, during and after an outage of the log.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> outage(String workload, long seed) {
-        return Outages.outage(seed);
+        return ControlPath.outage(seed);
     }
 
     /**
      * Measures the control traffic of a node.
      *
-     * @param workload not looked at
-     * @param seed makes the run the same each time
+     * @param workload ignored
+     * @param seed the random seed; the same seed repeats the run
      * @return the figures by name
      */
     public static Map<String, Object> capacity(String workload, long seed) {
-        return Capacity.run(seed);
+        return ControlTraffic.run(seed);
     }
 
-    private static void put(Map<String, Object> figures, String who, SurgeReport r) {
-        figures.put(who + ".goodputPerSecond", r.goodput());
-        figures.put(who + ".goodputShareOfCapacity", r.goodputShare());
-        figures.put(who + ".importantServed", r.importantServed());
-        figures.put(who + ".wastedShare", r.wastedShare());
-        figures.put(who + ".attemptsPerRequestDeepest", r.attemptsPerRequest());
-        figures.put(who + ".recoverySeconds", r.recoverySeconds());
-        figures.put(who + ".sends", r.sends());
-        figures.put(who + ".answers", r.answers());
+    private static void put(Map<String, Object> figures, String variant, SurgeReport r) {
+        figures.put(variant + ".goodputPerSecond", r.goodput());
+        figures.put(variant + ".goodputShareOfCapacity", r.goodputShare());
+        figures.put(variant + ".importantServed", r.importantServed());
+        figures.put(variant + ".wastedShare", r.wastedShare());
+        figures.put(variant + ".attemptsPerRequestDeepest", r.attemptsPerRequest());
+        figures.put(variant + ".recoverySeconds", r.recoverySeconds());
+        figures.put(variant + ".sends", r.sends());
+        figures.put(variant + ".answers", r.answers());
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/ServiceSpec.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/ServiceSpec.java
@@ -4,13 +4,13 @@
 import java.util.TreeMap;
 
 /**
- * A service of the lab.
+ * An emulated service.
  *
  * @param name its name
  * @param servers how many servers it has
- * @param slots how many calls a server works on at a time
- * @param serviceMillis the mean time a call takes, without the calls below, in milliseconds
- * @param operations what it can be asked for, by name
+ * @param slots how many calls a server runs at the same time
+ * @param serviceMillis the mean time that a call takes without its nested calls, in milliseconds
+ * @param operations the operations it provides, by name
  */
 record ServiceSpec(String name, int servers, int slots, double serviceMillis, Map<String, Operation> operations) {
     static ServiceSpec of(String name, int servers, int slots, double serviceMillis, Operation... operations) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Soak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Soak.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.ledger.Breach;
 
 /**
- * A long randomised run of the real decision logic on a virtual clock, with random demand and random faults.
+ * A long randomised run of the production decision logic on a virtual clock, with random demand and random faults.
  */
 public final class Soak {
     private static final long WARM_UP_NANOS = 4 * Lab.SECOND;
@@ -15,21 +15,21 @@
     private Soak() {}
 
     /**
-     * Runs.
+     * Generates demand and faults, lets the system settle, and checks the invariants.
      *
      * @param settings the seed and the length
-     * @return what it showed
+     * @return the counts and the violated invariants
      */
     public static SoakReport run(SoakSettings settings) {
-        Lab lab = SoakWorld.create(settings.seed());
+        Lab lab = SoakWorkload.create(settings.seed());
         lab.advance(WARM_UP_NANOS);
         List<String> violations = new ArrayList<>();
         SoakOperators operators = new SoakOperators(lab);
         SoakCallers callers = new SoakCallers(lab, settings.unkeyedShare());
         SoakFaults faults = new SoakFaults(lab, settings.kinds(), operators, violations);
-        long until = lab.world().nanos() + settings.seconds() * Lab.SECOND;
-        callers.demand(settings.requestsPerSecond(), until);
-        faults.provoke(until);
+        long until = lab.clock().nanos() + settings.seconds() * Lab.SECOND;
+        callers.generateLoad(settings.requestsPerSecond(), until);
+        faults.inject(until);
         lab.advance(settings.seconds() * Lab.SECOND + SETTLE_NANOS);
         for (Breach b : lab.breaches()) {
             violations.add(b.invariant() + " " + b.subject() + ": " + b.history());
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakCallers.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakCallers.java
@@ -12,21 +12,21 @@
 import org.verbenadyke.kernel.call.RunState;
 
 /**
- * The demand of a randomised run, and what each caller was told. Callers of filings send again under the same key, to
- * other nodes, during and after the first try; filings without a key are sent once.
+ * Generates the demand of a randomised run and records the answers that callers receive. Callers of filings send the
+ * same key again to other nodes, during and after the first attempt; filings without a key are sent once.
  */
 final class SoakCallers {
-    private static final int SENDS_MOST = 4;
-    private static final long TTL_LEAST_NANOS = 400 * Lab.MILLI;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final long MIN_TTL_NANOS = 400 * Lab.MILLI;
     private static final long TTL_SPREAD_NANOS = 3 * Lab.SECOND;
-    private static final long RESEND_SPREAD_NANOS = 4 * Lab.SECOND;
+    private static final long MAX_RESEND_DELAY_NANOS = 4 * Lab.SECOND;
     private static final double RESEND_SHARE = 0.4;
-    private static final double PLAIN_KEY_SHARE = 0.1;
+    private static final double NON_UUID_KEY_SHARE = 0.1;
 
     private final Lab lab;
     private final LabCaller caller;
     private final double unkeyedShare;
-    private final Map<String, Logical> logicals = new LinkedHashMap<>();
+    private final Map<String, LogicalRequest> requests = new LinkedHashMap<>();
     private final Map<String, Integer> answers = new TreeMap<>();
     private final CRC32 digest = new CRC32();
     private long sent;
@@ -37,60 +37,66 @@
         this.caller = new LabCaller(lab);
     }
 
-    /** Keeps sending at a mean rate until a time. */
-    void demand(int perSecond, long untilNanos) {
-        if (lab.world().nanos() >= untilNanos) {
+    /** Sends requests with exponentially distributed gaps at a mean rate until the given time. */
+    void generateLoad(int perSecond, long untilNanos) {
+        if (lab.clock().nanos() >= untilNanos) {
             return;
         }
-        begin();
+        sendNew();
         long gap = (long) (-Math.log(1 - lab.random().nextDouble()) * Lab.SECOND / perSecond);
-        lab.world().after(gap, () -> demand(perSecond, untilNanos));
+        lab.clock().after(gap, () -> generateLoad(perSecond, untilNanos));
     }
 
-    private void begin() {
-        LabRequest kind = draw();
+    private void sendNew() {
+        LabRequest kind = drawKind();
         String id = kind.name() + "-" + sent;
-        Logical logical = new Logical(kind, id, kind.once() ? key() : "");
-        logicals.put(id, logical);
-        send(logical);
+        LogicalRequest request = new LogicalRequest(kind, id, kind.once() ? drawKey() : "");
+        requests.put(id, request);
+        send(request);
     }
 
-    private void send(Logical logical) {
+    private void send(LogicalRequest request) {
         List<LabServer> entries =
                 lab.servers().stream().filter(LabServer::working).toList();
         if (entries.isEmpty()) {
             return;
         }
         LabServer entry = entries.get(lab.random().nextInt(entries.size()));
-        Send send = new Send(entry.node(), lab.world().nanos() / Lab.MILLI);
-        logical.sends.add(send);
+        Attempt attempt = new Attempt(entry.node(), lab.clock().nanos() / Lab.MILLI);
+        request.attempts.add(attempt);
         sent++;
-        long ttl = TTL_LEAST_NANOS + lab.random().nextLong(TTL_SPREAD_NANOS);
-        caller.send(logical.kind, logical.id, logical.key, ttl, entry, answer -> answered(logical, send, answer));
-        boolean again = !logical.key.isEmpty() && logical.sends.size() < SENDS_MOST;
-        if (again && lab.random().nextDouble() < RESEND_SHARE) {
-            lab.world().after(lab.random().nextLong(RESEND_SPREAD_NANOS), () -> send(logical));
+        long ttl = MIN_TTL_NANOS + lab.random().nextLong(TTL_SPREAD_NANOS);
+        caller.send(
+                request.kind, request.id, request.key, ttl, entry, answer -> recordAnswer(request, attempt, answer));
+        boolean mayResend = !request.key.isEmpty() && request.attempts.size() < MAX_ATTEMPTS;
+        if (mayResend && lab.random().nextDouble() < RESEND_SHARE) {
+            lab.clock().after(lab.random().nextLong(MAX_RESEND_DELAY_NANOS), () -> send(request));
         }
     }
 
-    private void answered(Logical logical, Send send, LabAnswer answer) {
-        if (send.answer != null) {
-            send.twice = true;
+    private void recordAnswer(LogicalRequest request, Attempt attempt, LabAnswer answer) {
+        if (attempt.answer != null) {
+            attempt.answeredTwice = true;
         }
-        send.answer = answer;
+        attempt.answer = answer;
         answers.merge(answer.label(), 1, Integer::sum);
-        String line = lab.world().nanos() + " " + logical.id + " " + answer.label();
+        String line = lab.clock().nanos() + " " + request.id + " " + answer.label();
         digest.update(line.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Compares what callers were told with what the upstreams did. */
+    /** Compares the answers that callers received with the work that upstreams did. */
     List<String> violations() {
         List<String> violations = new ArrayList<>();
-        for (Logical logical : logicals.values()) {
-            logical.check(lab.effects(), violations);
+        for (LogicalRequest request : requests.values()) {
+            request.check(lab.effects(), violations);
         }
-        new RunBound(lab)
-                .check(id -> logicals.containsKey(id) ? logicals.get(id).sends.size() : 0, kindOf(), violations);
+        new RunCountCheck(lab)
+                .check(
+                        id -> requests.containsKey(id)
+                                ? requests.get(id).attempts.size()
+                                : 0,
+                        kindOf(),
+                        violations);
         return violations;
     }
 
@@ -107,50 +113,50 @@
     }
 
     private Function<String, LabRequest> kindOf() {
-        return id -> logicals.get(id).kind;
+        return id -> requests.get(id).kind;
     }
 
-    private LabRequest draw() {
-        double d = lab.random().nextDouble();
-        for (LabRequest kind : SoakWorld.REQUESTS) {
-            d -= kind.share();
-            if (d < 0) {
+    private LabRequest drawKind() {
+        double remaining = lab.random().nextDouble();
+        for (LabRequest kind : SoakWorkload.REQUESTS) {
+            remaining -= kind.share();
+            if (remaining < 0) {
                 return kind;
             }
         }
-        return SoakWorld.REQUESTS.getFirst();
+        return SoakWorkload.REQUESTS.getFirst();
     }
 
-    private String key() {
+    private String drawKey() {
         if (unkeyedShare > 0 && lab.random().nextDouble() < unkeyedShare) {
             return "";
         }
-        if (lab.random().nextDouble() < PLAIN_KEY_SHARE) {
+        if (lab.random().nextDouble() < NON_UUID_KEY_SHARE) {
             return "plain-" + lab.random().nextLong();
         }
         return Keys.at(lab);
     }
 
     /**
-     * One request as its caller means it.
+     * One request of a caller, with all its attempts.
      */
-    private static final class Logical {
+    private static final class LogicalRequest {
         private final LabRequest kind;
         private final String id;
         private final String key;
-        private final List<Send> sends = new ArrayList<>();
+        private final List<Attempt> attempts = new ArrayList<>();
 
-        private Logical(LabRequest kind, String id, String key) {
+        private LogicalRequest(LabRequest kind, String id, String key) {
             this.kind = kind;
             this.id = id;
             this.key = key;
         }
 
         void check(Effects effects, List<String> violations) {
-            int ran = effects.effects(id);
-            boolean allNotRun = !sends.isEmpty();
-            for (Send s : sends) {
-                if (s.twice) {
+            int ran = effects.effectCount(id);
+            boolean allRefusedAsNotRun = !attempts.isEmpty();
+            for (Attempt s : attempts) {
+                if (s.answeredTwice) {
                     violations.add("answered twice: " + id);
                 }
                 if (s.answer == null && !s.entry.process().killed()) {
@@ -162,33 +168,33 @@
                 if (kind.once() && s.answer instanceof LabAnswer.Whole && ran == 0) {
                     violations.add("answered but never ran: " + id);
                 }
-                allNotRun &=
+                allRefusedAsNotRun &=
                         s.answer instanceof LabAnswer.Refused r && r.refusal().state() == RunState.NOT_RUN;
             }
             if (ran > 1) {
-                violations.add("ran " + ran + " times: " + id + " key " + key + " " + effects.places(id) + " sent at "
-                        + sends.stream().map(s -> s.atMillis).toList());
+                violations.add("ran " + ran + " times: " + id + " key " + key + " " + effects.occurrences(id)
+                        + " sent at " + attempts.stream().map(s -> s.atMillis).toList());
             }
             List<String> starts = effects.starts(id);
             if (key.isEmpty() && starts.size() > 1) {
                 violations.add("started " + starts.size() + " times without a key: " + id + " " + starts);
             }
-            if (kind.once() && allNotRun && (ran > 0 || !starts.isEmpty())) {
+            if (kind.once() && allRefusedAsNotRun && (ran > 0 || !starts.isEmpty())) {
                 violations.add("refused as not run but ran: " + id + " " + starts);
             }
         }
     }
 
     /**
-     * One sending of a request.
+     * One attempt to send a request.
      */
-    private static final class Send {
+    private static final class Attempt {
         private final LabNode entry;
         private LabAnswer answer;
         private final long atMillis;
-        private boolean twice;
+        private boolean answeredTwice;
 
-        private Send(LabNode entry, long atMillis) {
+        private Attempt(LabNode entry, long atMillis) {
             this.entry = entry;
             this.atMillis = atMillis;
         }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakCrashes.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakCrashes.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * Series of crashes in a randomised run: many nodes are killed at the same moment, while their upstreams are at work,
- * and start again at the same addresses within a fraction of the time that a request may take. Series overlap, and
- * other nodes are paused or lose connections at the same moment.
+ * Series of crashes in a randomised run: many nodes are killed at the same moment, while their upstreams are working,
+ * and restart at the same addresses within a fraction of the time that a request may take. Series overlap, and other
+ * nodes are paused or lose connections at the same moment.
  */
 final class SoakCrashes {
-    private static final int ROUNDS_MOST = 4;
-    private static final int SLOWEST = 40;
-    private static final long ROUND_GAP_NANOS = 700 * Lab.MILLI;
-    private static final long DOWN_LEAST_NANOS = 5 * Lab.MILLI;
+    private static final int MAX_ROUNDS = 4;
+    private static final int MAX_SLOW_FACTOR = 40;
+    private static final long MAX_ROUND_GAP_NANOS = 700 * Lab.MILLI;
+    private static final long MIN_DOWN_NANOS = 5 * Lab.MILLI;
     private static final long DOWN_SPREAD_NANOS = 800 * Lab.MILLI;
     private static final long ANNOUNCE_SPREAD_NANOS = 200 * Lab.MILLI;
-    private static final long PAUSE_SPREAD_NANOS = 900 * Lab.MILLI;
-    private static final int TROUBLES = 6;
+    private static final long MAX_PAUSE_NANOS = 900 * Lab.MILLI;
+    private static final int EXTRA_FAULT_CASES = 6;
 
     private final Lab lab;
 
@@ -23,34 +23,34 @@
         this.lab = lab;
     }
 
-    /** Begins a series; of the servers that crash, the given share loses its upstream too. */
-    boolean series(double upstreamShare) {
+    /** Starts a series of crashes; the given share of the crashing servers loses its upstream as well. */
+    boolean startSeries(double upstreamShare) {
         double share = lab.random().nextDouble();
         long length = 0;
-        int rounds = 1 + lab.random().nextInt(ROUNDS_MOST);
+        int rounds = 1 + lab.random().nextInt(MAX_ROUNDS);
         for (int i = 0; i < rounds; i++) {
-            length += lab.random().nextLong(ROUND_GAP_NANOS);
-            lab.world().after(length, () -> round(share, upstreamShare));
+            length += lab.random().nextLong(MAX_ROUND_GAP_NANOS);
+            lab.clock().after(length, () -> crashRound(share, upstreamShare));
         }
-        slow(length);
+        slowFilings(length);
         return true;
     }
 
-    /** Makes filings last, so that many are under way when their node crashes. */
-    private void slow(long length) {
-        List<LabServer> desks = lab.servers("permit-desk");
-        double factor = 1 + lab.random().nextInt(SLOWEST);
-        desks.forEach(s -> s.upstream().slow(factor));
-        lab.world().after(length, () -> desks.forEach(s -> s.upstream().slow(1)));
+    /** Slows filings down, so that many are in flight when their node crashes. */
+    private void slowFilings(long length) {
+        List<LabServer> permitDesks = lab.servers("permit-desk");
+        double factor = 1 + lab.random().nextInt(MAX_SLOW_FACTOR);
+        permitDesks.forEach(s -> s.upstream().slow(factor));
+        lab.clock().after(length, () -> permitDesks.forEach(s -> s.upstream().slow(1)));
     }
 
-    private void round(double share, double upstreamShare) {
+    private void crashRound(double share, double upstreamShare) {
         for (LabServer s : lab.servers()) {
             if (s.up() && lab.random().nextDouble() < share) {
                 crash(s, lab.random().nextDouble() < upstreamShare);
             }
         }
-        trouble();
+        injectExtraFault();
     }
 
     private void crash(LabServer s, boolean upstreamToo) {
@@ -58,18 +58,18 @@
         if (upstreamToo) {
             s.upstream().kill();
         }
-        long down = DOWN_LEAST_NANOS + lab.random().nextLong(DOWN_SPREAD_NANOS);
-        long announced = Lab.MILLI + lab.random().nextLong(ANNOUNCE_SPREAD_NANOS);
-        lab.world().after(down, () -> lab.restartNode(s, announced));
+        long downNanos = MIN_DOWN_NANOS + lab.random().nextLong(DOWN_SPREAD_NANOS);
+        long announceNanos = Lab.MILLI + lab.random().nextLong(ANNOUNCE_SPREAD_NANOS);
+        lab.clock().after(downNanos, () -> lab.restartNode(s, announceNanos));
     }
 
-    private void trouble() {
-        switch (lab.random().nextInt(TROUBLES)) {
+    private void injectExtraFault() {
+        switch (lab.random().nextInt(EXTRA_FAULT_CASES)) {
             case 0, 1 -> pauseOthers();
             case 2 -> lab.net().sever(lab.random().nextDouble());
             case 3 -> lab.net().silence(lab.random().nextDouble());
             default -> {
-                // The crash alone.
+                // No extra fault.
             }
         }
     }
@@ -78,9 +78,9 @@
         double share = lab.random().nextDouble();
         for (LabServer s : lab.servers()) {
             if (s.working() && lab.random().nextDouble() < share) {
-                NodeTimers process = s.node().process();
+                ProcessTimers process = s.node().process();
                 process.pause();
-                lab.world().after(lab.random().nextLong(PAUSE_SPREAD_NANOS), process::resume);
+                lab.clock().after(lab.random().nextLong(MAX_PAUSE_NANOS), process::resume);
             }
         }
     }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
@@ -10,16 +10,17 @@
 import java.util.function.Predicate;
 
 /**
- * The faults of a randomised run, several at once or twice. Each heals after a while.
+ * Injects the faults of a randomised run. Several faults, also of the same kind, may be active at the same time; each
+ * one ends after a random time.
  */
 final class SoakFaults {
-    private static final long GAP_NANOS = 2 * Lab.SECOND;
-    private static final long LONGEST_NANOS = 9 * Lab.SECOND;
-    private static final long SHORTEST_NANOS = 300 * Lab.MILLI;
+    private static final long MEAN_GAP_NANOS = 2 * Lab.SECOND;
+    private static final long LENGTH_SPREAD_NANOS = 9 * Lab.SECOND;
+    private static final long MIN_LENGTH_NANOS = 300 * Lab.MILLI;
     private static final long POLL_NANOS = 50 * Lab.MILLI;
-    private static final long LEAVE_NANOS = 300 * Lab.MILLI;
-    private static final long GRACEFUL_MOST_NANOS = 40 * Lab.SECOND;
-    private static final long READY_NANOS = 3 * Lab.SECOND;
+    private static final long LEAVE_PAUSE_NANOS = 300 * Lab.MILLI;
+    private static final long MAX_GRACEFUL_STOP_NANOS = 40 * Lab.SECOND;
+    private static final long MIN_UPTIME_NANOS = 3 * Lab.SECOND;
 
     private final Lab lab;
     private final List<FaultKind> kinds;
@@ -28,7 +29,7 @@
     private final List<String> violations;
     private final Map<String, Integer> counts = new TreeMap<>();
     private final List<String> trace = new ArrayList<>();
-    private String last = "";
+    private String lastTarget = "";
     private long faults;
 
     SoakFaults(Lab lab, Set<FaultKind> kinds, SoakOperators operators, List<String> violations) {
@@ -39,19 +40,19 @@
         this.violations = violations;
     }
 
-    void provoke(long untilNanos) {
-        if (lab.world().nanos() >= untilNanos) {
+    void inject(long untilNanos) {
+        if (lab.clock().nanos() >= untilNanos) {
             return;
         }
-        last = "";
+        lastTarget = "";
         FaultKind kind = kinds.get(lab.random().nextInt(kinds.size()));
-        long length = SHORTEST_NANOS + lab.random().nextLong(LONGEST_NANOS);
-        if (provoke(kind, length)) {
+        long length = MIN_LENGTH_NANOS + lab.random().nextLong(LENGTH_SPREAD_NANOS);
+        if (inject(kind, length)) {
             faults++;
-            trace.add(lab.world().nanos() / Lab.MILLI + " " + kind + " for " + length / Lab.MILLI + last);
+            trace.add(lab.clock().nanos() / Lab.MILLI + " " + kind + " for " + length / Lab.MILLI + lastTarget);
             counts.merge(kind.name(), 1, Integer::sum);
         }
-        lab.world().after(lab.random().nextLong(2 * GAP_NANOS), () -> provoke(untilNanos));
+        lab.clock().after(lab.random().nextLong(2 * MEAN_GAP_NANOS), () -> inject(untilNanos));
     }
 
     /** Returns each fault with its time and length in milliseconds. */
@@ -67,38 +68,39 @@
         return counts;
     }
 
-    private boolean provoke(FaultKind kind, long length) {
+    private boolean inject(FaultKind kind, long length) {
         return switch (kind) {
             case KILL ->
                 onServer(s -> {
                     lab.kill(s);
-                    lab.world().after(length, () -> lab.start(s));
+                    lab.clock().after(length, () -> lab.start(s));
                 });
             case PAUSE ->
                 onServer(s -> {
-                    NodeTimers process = s.node().process();
+                    ProcessTimers process = s.node().process();
                     process.pause();
-                    lab.world().after(length, process::resume);
+                    lab.clock().after(length, process::resume);
                 });
             case KILL_UPSTREAM -> onServer(s -> killUpstream(s, length));
             case SILENCE -> lab.net().silence(lab.random().nextDouble()) > 0;
             case SEVER -> lab.net().sever(lab.random().nextDouble() / 2) > 0;
             case LOG_OUTAGE ->
-                healing(length, () -> lab.log().outage(true), () -> lab.log().outage(false));
+                temporarily(
+                        length, () -> lab.log().outage(true), () -> lab.log().outage(false));
             case LOG_SLOW ->
-                healing(
+                temporarily(
                         length,
                         () -> lab.log().slow(length / 8),
                         () -> lab.log().slow(0));
             case LOG_LOSS ->
-                healing(
+                temporarily(
                         length,
                         () -> lab.log().loseAnswers(0.5),
                         () -> lab.log().loseAnswers(0));
             case RETENTION ->
-                healing(length, () -> lab.log().retain(3), () -> lab.log().retain(Integer.MAX_VALUE));
+                temporarily(length, () -> lab.log().retain(3), () -> lab.log().retain(Integer.MAX_VALUE));
             case RACE -> {
-                operators.race();
+                operators.confirmConcurrently();
                 yield true;
             }
             case DRAIN -> onServer(s -> drain(s, length));
@@ -108,58 +110,58 @@
                 onServer(s -> {
                     FakeUpstream upstream = s.upstream();
                     upstream.failShare(0.7);
-                    lab.world().after(length, () -> upstream.failShare(0));
+                    lab.clock().after(length, () -> upstream.failShare(0));
                 });
-            case CRASH_NODES -> crashes.series(0);
-            case CRASH_SERVERS -> crashes.series(lab.random().nextDouble());
+            case CRASH_NODES -> crashes.startSeries(0);
+            case CRASH_SERVERS -> crashes.startSeries(lab.random().nextDouble());
             case PARTITION ->
-                healing(
+                temporarily(
                         length,
                         () -> lab.net()
-                                .partition((a, b) -> !lab.place(a)
+                                .partition((a, b) -> !lab.location(a)
                                         .region()
-                                        .equals(lab.place(b).region())),
+                                        .equals(lab.location(b).region())),
                         () -> lab.net().partition((a, b) -> false));
         };
     }
 
-    /** Picks a working server whose service has two others at work. */
+    /** Injects a fault on a random working server whose service has at least two other working servers. */
     private boolean onServer(Consumer<LabServer> fault) {
-        Predicate<LabServer> spare =
+        Predicate<LabServer> hasTwoOthers =
                 s -> lab.servers(s.spec().name()).stream().filter(this::ready).count() > 2;
         List<LabServer> candidates =
-                lab.servers().stream().filter(this::ready).filter(spare).toList();
+                lab.servers().stream().filter(this::ready).filter(hasTwoOthers).toList();
         if (candidates.isEmpty()) {
             return false;
         }
         LabServer chosen = candidates.get(lab.random().nextInt(candidates.size()));
-        last = " on " + chosen.id();
+        lastTarget = " on " + chosen.id();
         fault.accept(chosen);
         return true;
     }
 
     private boolean ready(LabServer s) {
-        return s.working() && lab.world().nanos() - s.upSinceNanos() > READY_NANOS;
+        return s.working() && lab.clock().nanos() - s.upSinceNanos() > MIN_UPTIME_NANOS;
     }
 
-    private boolean healing(long length, Runnable fault, Runnable cure) {
+    private boolean temporarily(long length, Runnable fault, Runnable heal) {
         fault.run();
-        lab.world().after(length, cure);
+        lab.clock().after(length, heal);
         return true;
     }
 
     private boolean slow(long length) {
         List<LabServer> all = lab.servers("survey-view");
         all.forEach(s -> s.upstream().slow(5));
-        lab.world().after(length, () -> all.forEach(s -> s.upstream().slow(1)));
+        lab.clock().after(length, () -> all.forEach(s -> s.upstream().slow(1)));
         return true;
     }
 
     private void killUpstream(LabServer s, long length) {
-        s.leaving(true);
+        s.setLeaving(true);
         s.upstream().kill();
         LabNode node = s.node();
-        lab.world().after(length, () -> {
+        lab.clock().after(length, () -> {
             if (s.node() == node && s.up()) {
                 lab.replaceUpstream(s);
             }
@@ -167,24 +169,24 @@
     }
 
     private void drain(LabServer s, long length) {
-        s.leaving(true);
+        s.setLeaving(true);
         LabNode node = s.node();
         node.process().run(() -> node.core().drain());
-        lab.world().after(length, () -> {
+        lab.clock().after(length, () -> {
             if (s.node() == node && s.up()) {
-                s.leaving(false);
+                s.setLeaving(false);
                 node.process().run(() -> node.core().announce(s.spec().name(), s.upstream()));
             }
         });
     }
 
-    /** Stops a server as planned and replaces it; nothing in flight may be cut off. */
+    /** Stops a server gracefully and replaces it; no request in flight may be aborted. */
     private void restart(LabServer s) {
-        s.leaving(true);
+        s.setLeaving(true);
         LabNode node = s.node();
         node.process().run(() -> node.core().drain());
-        long until = lab.world().nanos() + GRACEFUL_MOST_NANOS;
-        lab.world().after(LEAVE_NANOS, () -> awaitIdle(s, node, until));
+        long until = lab.clock().nanos() + MAX_GRACEFUL_STOP_NANOS;
+        lab.clock().after(LEAVE_PAUSE_NANOS, () -> awaitIdle(s, node, until));
     }
 
     private void awaitIdle(LabServer s, LabNode node, long until) {
@@ -193,18 +195,18 @@
         }
         boolean idle = node.core().engine().server().unfinished() == 0
                 && node.core().engine().dispatcher().inFlight() == 0;
-        if (!idle && lab.world().nanos() < until) {
-            lab.world().after(POLL_NANOS, () -> awaitIdle(s, node, until));
+        if (!idle && lab.clock().nanos() < until) {
+            lab.clock().after(POLL_NANOS, () -> awaitIdle(s, node, until));
             return;
         }
         if (!idle) {
             violations.add("a planned stop of " + s.id() + " did not become idle");
         }
         node.process().run(() -> node.core().leave());
-        lab.world().after(LEAVE_NANOS, () -> {
+        lab.clock().after(LEAVE_PAUSE_NANOS, () -> {
             if (s.node() == node && s.up()) {
                 lab.kill(s);
-                lab.world().after(LEAVE_NANOS, () -> lab.start(s));
+                lab.clock().after(LEAVE_PAUSE_NANOS, () -> lab.start(s));
             }
         });
     }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakOperators.java
@@ -14,15 +14,15 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 
 /**
- * The operators of a randomised run: they confirm changes at the same moment through different nodes, ask again when
- * they are told that the outcome isn't known, and note what they were told.
+ * The operators of a randomised run: they confirm changes at the same moment through different nodes, confirm again
+ * when the outcome is unknown, and record each outcome that is reported to them.
  */
 final class SoakOperators {
-    private static final long AGAIN_NANOS = 500 * Lab.MILLI;
-    private static final int TRIES_MOST = 6;
+    private static final long RETRY_PAUSE_NANOS = 500 * Lab.MILLI;
+    private static final int MAX_TRIES = 6;
 
     private final Lab lab;
-    private final Map<String, ConfirmOutcome> told = new HashMap<>();
+    private final Map<String, ConfirmOutcome> outcomes = new HashMap<>();
     private final Map<String, ConfigEntry.Change> changes = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
@@ -30,7 +30,7 @@
         this.lab = lab;
     }
 
-    void race() {
+    void confirmConcurrently() {
         List<LabServer> working =
                 lab.servers().stream().filter(LabServer::working).toList();
         if (working.size() < 2) {
@@ -48,31 +48,32 @@
         ConfigEntry.Change change = new ConfigEntry.Change(
                 id,
                 base.version(),
-                lab.random().nextInt(SoakWorld.RETRIES_MOST + 1),
+                lab.random().nextInt(SoakWorkload.MAX_RETRIES + 1),
                 List.of(
                         new ImportanceRule("permit-desk", "POST", "/", Importance.CRITICAL),
                         new ImportanceRule("well-index", "*", "/", importance)),
                 Set.of(),
                 "operator",
-                lab.world().wallMillis());
+                lab.clock().wallMillis());
         changes.put(id, change);
         return change;
     }
 
     private void confirm(LabServer through, ConfigEntry.Change change, int tries) {
         LabNode node = through.node();
-        node.process().run(() -> node.core().config().confirm(change, outcome -> heard(change, outcome, tries)));
+        node.process()
+                .run(() -> node.core().config().confirm(change, outcome -> handleOutcome(change, outcome, tries)));
     }
 
-    private void heard(ConfigEntry.Change change, ConfirmOutcome outcome, int tries) {
-        ConfirmOutcome before = told.put(change.id(), outcome);
-        boolean settled = before instanceof ConfirmOutcome.InForce || before instanceof ConfirmOutcome.Superseded;
-        if (settled && before.getClass() != outcome.getClass()) {
-            violations.add("change " + change.id() + " told " + before + " and then " + outcome);
+    private void handleOutcome(ConfigEntry.Change change, ConfirmOutcome outcome, int tries) {
+        ConfirmOutcome before = outcomes.put(change.id(), outcome);
+        boolean isFinal = before instanceof ConfirmOutcome.InForce || before instanceof ConfirmOutcome.Superseded;
+        if (isFinal && before.getClass() != outcome.getClass()) {
+            violations.add("change " + change.id() + " was reported as " + before + " and then as " + outcome);
         }
-        boolean open = outcome instanceof ConfirmOutcome.Unknown || outcome instanceof ConfirmOutcome.NotAppended;
-        if (open && tries < TRIES_MOST) {
-            lab.world().after(AGAIN_NANOS, () -> {
+        boolean unresolved = outcome instanceof ConfirmOutcome.Unknown || outcome instanceof ConfirmOutcome.NotAppended;
+        if (unresolved && tries < MAX_TRIES) {
+            lab.clock().after(RETRY_PAUSE_NANOS, () -> {
                 List<LabServer> working =
                         lab.servers().stream().filter(LabServer::working).toList();
                 if (!working.isEmpty()) {
@@ -82,12 +83,12 @@
         }
     }
 
-    /** Checks that exactly one change won on each base and that all nodes run the same version. */
+    /** Checks that at most one change took effect on each base version and that all nodes run the same version. */
     List<String> violations() {
-        Map<Long, String> winners = new HashMap<>();
-        told.forEach((id, outcome) -> {
+        Map<Long, String> changeByVersion = new HashMap<>();
+        outcomes.forEach((id, outcome) -> {
             if (outcome instanceof ConfirmOutcome.InForce f) {
-                String other = winners.put(f.version(), id);
+                String other = changeByVersion.put(f.version(), id);
                 if (other != null) {
                     violations.add("two changes made version " + f.version() + ": " + other + " and " + id);
                 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakReport.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakReport.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * What a randomised run showed.
+ * The result of a randomised run.
  *
  * @param seed the run's seed
  * @param requests how many requests were sent
- * @param faults how many faults were provoked
+ * @param faults how many faults were injected
  * @param answers how many answers of each kind callers got
  * @param faultKinds how many faults of each kind there were
  * @param trace each fault with its time and length in milliseconds
- * @param violations every broken promise, in words
- * @param digest a checksum of all that happened; the same for the same seed and program
+ * @param violations a description of each violated invariant
+ * @param digest a checksum of all answers with their times; the same for the same seed and program
  */
 public record SoakReport(
         long seed,
@@ -25,7 +25,7 @@
         List<String> violations,
         long digest) {
     /**
-     * Words the result.
+     * Formats the result.
      *
      * @return one line
      */
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakSettings.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakSettings.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * One randomised run.
+ * The settings of one randomised run.
  *
- * @param seed makes the run the same each time
+ * @param seed the random seed; the same seed repeats the run
  * @param seconds how long demand and faults last, in virtual seconds
  * @param requestsPerSecond the mean demand
- * @param kinds the kinds of fault to provoke
+ * @param kinds the kinds of fault to inject
  * @param unkeyedShare the share of the filings that are sent without a key, 0 to 1
  */
 public record SoakSettings(long seed, int seconds, int requestsPerSecond, Set<FaultKind> kinds, double unkeyedShare) {
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Returns the settings with nothing but series of crashes, and filings with and without keys.
+     * Returns the settings with series of crashes as the only faults, and filings with and without keys.
      *
      * @param seed the seed
      * @param seconds the length in virtual seconds
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorld.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakWorkload.java
@@ -14,9 +14,9 @@
 /**
  * The services and requests that the randomised runs use.
  */
-final class SoakWorld {
-    /** The most retries that operators allow in a run. */
-    static final int RETRIES_MOST = 4;
+final class SoakWorkload {
+    /** The highest number of retries that operators allow in a run. */
+    static final int MAX_RETRIES = 4;
 
     static final List<LabRequest> REQUESTS = List.of(
             new LabRequest("lookup", "well-index/lookup", false, 0.45, false),
@@ -24,18 +24,18 @@
             new LabRequest("survey", "survey-view/survey", false, 0.15, false),
             new LabRequest("download", "log-archive/download", false, 0.15, false));
 
-    private static final List<Location> PLACES = List.of(
+    private static final List<Location> LOCATIONS = List.of(
             new Location("bc-north", "bc-1"),
             new Location("bc-north", "bc-2"),
             new Location("bc-north", "bc-3"),
             new Location("bc-south", "bs-1"));
-    private static final int DOWNLOAD = 400_000;
+    private static final int DOWNLOAD_BYTES = 400_000;
 
-    private SoakWorld() {}
+    private SoakWorkload() {}
 
     static Lab create(long seed) {
         Lab lab = Lab.create(seed, settings(), false);
-        lab.add(ServiceSpec.of("well-index", 4, 8, 6, Operation.of("lookup", "survey-view/survey")), PLACES);
+        lab.add(ServiceSpec.of("well-index", 4, 8, 6, Operation.of("lookup", "survey-view/survey")), LOCATIONS);
         lab.add(
                 ServiceSpec.of(
                         "permit-desk",
@@ -44,16 +44,16 @@
                         8,
                         Operation.once("filing", "well-index/lookup"),
                         new Operation("permit", false, List.of("well-index/lookup", "survey-view/survey"), true, 0)),
-                PLACES);
+                LOCATIONS);
         lab.add(
                 ServiceSpec.of(
                         "log-archive",
                         3,
                         8,
                         8,
-                        new Operation("download", false, List.of("permit-desk/permit"), false, DOWNLOAD)),
-                PLACES);
-        lab.add(ServiceSpec.of("survey-view", 4, 5, 8, Operation.of("survey")), PLACES);
+                        new Operation("download", false, List.of("permit-desk/permit"), false, DOWNLOAD_BYTES)),
+                LOCATIONS);
+        lab.add(ServiceSpec.of("survey-view", 4, 5, 8, Operation.of("survey")), LOCATIONS);
         lab.startAll();
         return lab;
     }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Surges.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Surges.java
@@ -6,11 +6,11 @@
 import org.verbenadyke.kernel.config.ImportanceRule;
 
 /**
- * The surges of both users, scaled down: every request reaches the deepest service once.
+ * Scaled-down surges of the two workloads; every request reaches the deepest service once.
  */
 final class Surges {
-    private static final double SLOW = 5;
-    private static final double MILLIS = 1_000;
+    private static final double SLOW_FACTOR = 5;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     private Surges() {}
 
@@ -50,20 +50,20 @@
 
     private static SurgeSpec spec(
             String name, List<ServiceSpec> services, List<LabRequest> requests, String important, String deepest) {
-        ServiceSpec last = services.stream()
+        ServiceSpec slowed = services.stream()
                 .filter(s -> s.name().equals(deepest))
                 .findFirst()
                 .orElseThrow();
-        double full = last.servers() * last.slots() * MILLIS / last.serviceMillis();
+        double fullCapacity = slowed.servers() * slowed.slots() * MILLIS_PER_SECOND / slowed.serviceMillis();
         return new SurgeSpec(
                 name,
                 services,
                 requests,
                 List.of(new ImportanceRule(important, "*", "/", Importance.CRITICAL)),
                 deepest,
-                SLOW,
-                full / SLOW / 2,
-                full / SLOW * 2,
-                full / SLOW);
+                SLOW_FACTOR,
+                fullCapacity / SLOW_FACTOR / 2,
+                fullCapacity / SLOW_FACTOR * 2,
+                fullCapacity / SLOW_FACTOR);
     }
 }
--- a/bench/src/main/java/org/verbenadyke/bench/lab/VirtualNet.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/VirtualNet.java
@@ -17,24 +17,24 @@
 import org.verbenadyke.wire.GossipCodec;
 
 /**
- * The connections and datagrams of the lab, through the real codecs. Connections keep order; datagrams may be lost,
- * late and out of order.
+ * An emulated network with connections and datagrams, encoded with the production codecs. Connections keep the order of
+ * messages; datagrams may be lost, delayed and reordered.
  */
 final class VirtualNet {
     private static final double DATAGRAM_LOSS = 0.01;
     private static final long CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
 
-    private final TimerService world;
+    private final TimerService clock;
     private final RandomGenerator random;
     private final Latency latency;
     private final Map<Endpoint, Host> hosts = new HashMap<>();
     private final List<Connection> connections = new ArrayList<>();
-    private BiPredicate<Endpoint, Endpoint> cut = (a, b) -> false;
+    private BiPredicate<Endpoint, Endpoint> partitioned = (a, b) -> false;
     private long bytesOnLinks;
     private long bytesInDatagrams;
 
-    VirtualNet(TimerService world, RandomGenerator random, Latency latency) {
-        this.world = world;
+    VirtualNet(TimerService clock, RandomGenerator random, Latency latency) {
+        this.clock = clock;
         this.random = random;
         this.latency = latency;
     }
@@ -43,30 +43,30 @@
         hosts.put(endpoint, host);
     }
 
-    /** Cuts everything between pairs of nodes, until the next call. */
+    /** Drops all traffic between the matching pairs of nodes, until the next call of this method. */
     void partition(BiPredicate<Endpoint, Endpoint> between) {
-        cut = between;
+        partitioned = between;
     }
 
     Transport transport(Endpoint from) {
         return (to, handler) -> connect(from, to, handler);
     }
 
-    void datagram(Endpoint from, Endpoint to, GossipMessage message) {
+    void sendDatagram(Endpoint from, Endpoint to, GossipMessage message) {
         byte[] bytes = GossipCodec.encode(message);
         bytesInDatagrams += bytes.length;
-        if (cut.test(from, to) || random.nextDouble() < DATAGRAM_LOSS) {
+        if (partitioned.test(from, to) || random.nextDouble() < DATAGRAM_LOSS) {
             return;
         }
-        world.after(latency.draw(from, to), () -> {
+        clock.after(latency.sampleNanos(from, to), () -> {
             Host host = hosts.get(to);
             if (host != null) {
-                host.process().run(() -> host.datagram(from, GossipCodec.decode(bytes)));
+                host.process().run(() -> host.receiveDatagram(from, GossipCodec.decode(bytes)));
             }
         });
     }
 
-    /** Makes some open connections carry nothing any more, while new ones work. */
+    /** Makes a share of the open connections silently drop all data, while new connections work; returns how many. */
     int silence(double share) {
         int n = 0;
         for (Connection c : connections) {
@@ -78,7 +78,7 @@
         return n;
     }
 
-    /** Breaks some open connections. */
+    /** Breaks a share of the open connections; returns how many. */
     int sever(double share) {
         int n = 0;
         for (Connection c : List.copyOf(connections)) {
@@ -90,8 +90,8 @@
         return n;
     }
 
-    /** Ends the connections of a killed process. */
-    void drop(Endpoint endpoint) {
+    /** Removes a killed process and closes its connections. */
+    void detach(Endpoint endpoint) {
         hosts.remove(endpoint);
         for (Connection c : List.copyOf(connections)) {
             if (c.open && (c.from.equals(endpoint) || c.to.equals(endpoint))) {
@@ -109,12 +109,12 @@
     }
 
     private void connect(Endpoint from, Endpoint to, Transport.Handler opener) {
-        NodeTimers process = hosts.get(from).process();
-        if (cut.test(from, to)) {
-            world.after(CONNECT_TIMEOUT_NANOS, () -> process.run(opener::ended));
+        ProcessTimers process = hosts.get(from).process();
+        if (partitioned.test(from, to)) {
+            clock.after(CONNECT_TIMEOUT_NANOS, () -> process.run(opener::ended));
             return;
         }
-        world.after(2 * latency.draw(from, to), () -> {
+        clock.after(2 * latency.sampleNanos(from, to), () -> {
             Host host = hosts.get(to);
             if (host == null) {
                 process.run(opener::ended);
@@ -131,21 +131,21 @@
     }
 
     /**
-     * A node on the net.
+     * A node that is attached to the network.
      */
     interface Host {
-        NodeTimers process();
+        ProcessTimers process();
 
         Transport.Handler accept();
 
-        void datagram(Endpoint from, GossipMessage message);
+        void receiveDatagram(Endpoint from, GossipMessage message);
     }
 
     /**
-     * Draws how long a message takes.
+     * Draws the random latency of a message.
      */
     interface Latency {
-        long draw(Endpoint from, Endpoint to);
+        long sampleNanos(Endpoint from, Endpoint to);
     }
 
     /**
@@ -154,27 +154,27 @@
     private final class Connection {
         private final Endpoint from;
         private final Endpoint to;
-        private final NodeTimers openerProcess;
-        private final NodeTimers acceptorProcess;
+        private final ProcessTimers openerProcess;
+        private final ProcessTimers acceptorProcess;
         private Transport.Handler opener;
         private Transport.Handler acceptor;
         private boolean open = true;
         private boolean silent;
-        private long lastToOpener;
-        private long lastToAcceptor;
+        private long lastDueToOpener;
+        private long lastDueToAcceptor;
 
-        private Connection(Endpoint from, Endpoint to, NodeTimers openerProcess, NodeTimers acceptorProcess) {
+        private Connection(Endpoint from, Endpoint to, ProcessTimers openerProcess, ProcessTimers acceptorProcess) {
             this.from = from;
             this.to = to;
             this.openerProcess = openerProcess;
             this.acceptorProcess = acceptorProcess;
         }
 
-        Channel side(boolean ofAcceptor) {
+        Channel side(boolean acceptorSide) {
             return new Channel() {
                 @Override
                 public void write(Message message) {
-                    send(ofAcceptor, FrameCodec.encode(message));
+                    send(acceptorSide, FrameCodec.encode(message));
                 }
 
                 @Override
@@ -186,25 +186,25 @@
 
         private void send(boolean toOpener, byte[] frame) {
             bytesOnLinks += frame.length + FrameCodec.LENGTH_BYTES;
-            if (!open || silent || cut.test(from, to)) {
-                silent |= cut.test(from, to);
+            if (!open || silent || partitioned.test(from, to)) {
+                silent |= partitioned.test(from, to);
                 return;
             }
-            long due = world.nanos() + latency.draw(from, to);
-            due = Math.max(due, toOpener ? lastToOpener : lastToAcceptor);
+            long due = clock.nanos() + latency.sampleNanos(from, to);
+            due = Math.max(due, toOpener ? lastDueToOpener : lastDueToAcceptor);
             if (toOpener) {
-                lastToOpener = due;
+                lastDueToOpener = due;
             } else {
-                lastToAcceptor = due;
+                lastDueToAcceptor = due;
             }
-            world.after(due - world.nanos(), () -> deliver(toOpener, frame));
+            clock.after(due - clock.nanos(), () -> deliver(toOpener, frame));
         }
 
         private void deliver(boolean toOpener, byte[] frame) {
             if (!open || silent) {
                 return;
             }
-            NodeTimers process = toOpener ? openerProcess : acceptorProcess;
+            ProcessTimers process = toOpener ? openerProcess : acceptorProcess;
             Transport.Handler handler = toOpener ? opener : acceptor;
             process.run(() -> handler.received(FrameCodec.decode(frame)));
         }
@@ -214,10 +214,10 @@
                 return;
             }
             open = false;
-            boolean quiet = silent;
-            world.after(latency.draw(from, to), () -> {
+            boolean wasSilent = silent;
+            clock.after(latency.sampleNanos(from, to), () -> {
                 openerProcess.run(opener::ended);
-                if (!quiet) {
+                if (!wasSilent) {
                     acceptorProcess.run(acceptor::ended);
                 }
             });
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
@@ -23,34 +23,34 @@
 import org.verbenadyke.kernel.routing.Location;
 
 /**
- * Real nodes beside upstreams of different speed, and callers that come back once when they are told to, in virtual
- * time.
+ * Nodes with the production decision logic, colocated with upstreams of different speeds, and callers that retry once
+ * after the Retry-After delay, in virtual time.
  */
 final class CallerFleet {
-    private static final List<Location> PLACES =
+    private static final List<Location> LOCATIONS =
             List.of(new Location("r", "dc-1"), new Location("r", "dc-2"), new Location("r", "dc-3"));
-    private static final int FAILED_FROM = 300;
-    private static final long WARM_UP = 3 * Lab.SECOND;
+    private static final int MIN_FAILED_STATUS = 300;
+    private static final long WARM_UP_NANOS = 3 * Lab.SECOND;
 
-    /** Callers heed the wish when to come back up to this part of the time that they wait. */
-    private static final int HEEDED_SHARE = 4;
+    /** Callers honour a Retry-After delay of at most their timeout divided by this number. */
+    private static final int MAX_RETRY_DELAY_DIVISOR = 4;
 
-    private static final long SWING = 2 * Lab.SECOND;
+    private static final long SWING_PERIOD_NANOS = 2 * Lab.SECOND;
     private static final int SWING_PARTS = 4;
     private static final String REFUSED = "refused ";
 
     private final Lab lab;
     private double swingTimes = 1;
-    private long numbers;
+    private long nextNumber;
 
     private CallerFleet(Lab lab) {
         this.lab = lab;
     }
 
-    /** Starts a fleet and lets its members find each other. */
+    /** Starts a fleet and lets its nodes discover each other. */
     static CallerFleet start(long seed, List<ServiceSpec> services, List<FleetOperation> operations, double[] speeds) {
         Lab lab = Lab.create(seed, CoreSettings.with(policy()), false);
-        services.forEach(s -> lab.add(s, PLACES));
+        services.forEach(s -> lab.add(s, LOCATIONS));
         lab.startAll();
         lab.advance(Lab.SECOND);
         Map<String, FleetOperation> byName =
@@ -61,129 +61,129 @@
             FleetUpstream upstream = new FleetUpstream(s.node(), byName, lab.random(), speed);
             s.node().core().announce(s.spec().name(), upstream, s.spec().slots());
         }
-        lab.advance(WARM_UP);
+        lab.advance(WARM_UP_NANOS);
         return new CallerFleet(lab);
     }
 
-    /** As a node on few places with far more callers than it can serve decides. */
+    /** Returns the policy of a node with few slots and far more callers than it can serve. */
     static Policy policy() {
-        Policy s = Policy.standard();
+        Policy standard = Policy.standard();
         return new Policy(
                 "expected-finish",
                 "fixed",
-                s.subsetSize(),
+                standard.subsetSize(),
                 0,
-                s.defaultTtlNanos(),
-                s.keyRetentionNanos(),
+                standard.defaultTtlNanos(),
+                standard.keyRetentionNanos(),
                 new GateSettings(true, 2, 8, 20 * Lab.MILLI, QueueOrder.DUE),
-                s.limits(),
+                standard.limits(),
                 new DispatchSettings(0.04, 2, false, 0, true, true, 300),
-                s.serve(),
-                s.link());
+                standard.serve(),
+                standard.link());
     }
 
     Lab lab() {
         return lab;
     }
 
-    /** Makes each fourth part of a swing this many times as busy as the rest. */
-    void swing(double times) {
+    /** Makes the first quarter of each swing period this many times as busy as the rest. */
+    void setSwing(double times) {
         swingTimes = times;
     }
 
-    /** Lets callers ask for an operation at random moments until an end. */
-    void arrive(Stream stream, double perSecond, long end) {
-        boolean busy = lab.world().nanos() % SWING < SWING / SWING_PARTS;
+    /** Sends requests for an operation at random times until the given end. */
+    void generateLoad(CallerGroup group, double perSecond, long end) {
+        boolean busy = lab.clock().nanos() % SWING_PERIOD_NANOS < SWING_PERIOD_NANOS / SWING_PARTS;
         double calm = perSecond * SWING_PARTS / (swingTimes + SWING_PARTS - 1);
         double rate = busy ? swingTimes * calm : calm;
         long gap = (long) (-Math.log(1 - lab.random().nextDouble()) * Lab.SECOND / rate);
-        lab.world().after(gap, () -> {
-            if (lab.world().nanos() < end) {
-                new Asked(stream).send();
-                arrive(stream, perSecond, end);
+        lab.clock().after(gap, () -> {
+            if (lab.clock().nanos() < end) {
+                new CallerRequest(group).send();
+                generateLoad(group, perSecond, end);
             }
         });
     }
 
     /**
-     * Callers of one kind.
+     * A group of callers that send the same kind of request.
      *
-     * @param operation what they ask for
-     * @param importance how much it matters
-     * @param waitsMillis how long they wait, all their tries together
-     * @param tally what becomes of their requests
+     * @param operation the requested operation
+     * @param importance the importance of the requests
+     * @param timeoutMillis the timeout of a request, over all its attempts
+     * @param tally counts the outcomes of the requests
      */
-    record Stream(FleetOperation operation, Importance importance, long waitsMillis, Tally tally) {}
+    record CallerGroup(FleetOperation operation, Importance importance, long timeoutMillis, Tally tally) {}
 
     /**
-     * What became of requests.
+     * Counts the outcomes of requests.
      */
     static final class Tally {
-        private final Map<String, Integer> ends = new TreeMap<>();
-        private int asked;
+        private final Map<String, Integer> outcomes = new TreeMap<>();
+        private int requested;
         private int inTime;
 
-        double share() {
-            return asked == 0 ? 1 : (double) inTime / asked;
+        double inTimeShare() {
+            return requested == 0 ? 1 : (double) inTime / requested;
         }
 
-        /** Returns the share that ran in part and came to nothing. */
-        double failed() {
-            return asked == 0 ? 0 : (double) ends.getOrDefault("failed", 0) / asked;
+        /** Returns the share that ran in part and then failed. */
+        double failedShare() {
+            return requested == 0 ? 0 : (double) outcomes.getOrDefault("failed", 0) / requested;
         }
 
-        /** Returns the share that was turned away, the second time for good. */
-        double refused() {
-            int refused = ends.entrySet().stream()
+        /** Returns the share that was refused at the first attempt and again at the retry. */
+        double refusedShare() {
+            int refused = outcomes.entrySet().stream()
                     .filter(e -> e.getKey().startsWith(REFUSED))
                     .mapToInt(Map.Entry::getValue)
                     .sum();
-            return asked == 0 ? 0 : (double) refused / asked;
+            return requested == 0 ? 0 : (double) refused / requested;
         }
 
-        /** Returns the share that was answered, but late. */
-        double late() {
-            return asked == 0 ? 0 : (double) ends.getOrDefault("late", 0) / asked;
+        /** Returns the share that was answered later than its target latency. */
+        double lateShare() {
+            return requested == 0 ? 0 : (double) outcomes.getOrDefault("late", 0) / requested;
         }
 
         @Override
         public String toString() {
-            return inTime + " of " + asked + " in time, ends " + ends;
+            return inTime + " of " + requested + " in time, outcomes " + outcomes;
         }
     }
 
     /**
-     * One request of a caller.
+     * One request of a caller, which retries once after a Retry-After.
      */
-    private final class Asked implements AnswerSink {
-        private final Stream stream;
+    private final class CallerRequest implements AnswerSink {
+        private final CallerGroup group;
         private final LabServer entry =
                 lab.servers().get(lab.random().nextInt(lab.servers().size()));
-        private final long since = lab.world().nanos();
+        private final long firstSentNanos = lab.clock().nanos();
         private final List<Integer> statuses = new ArrayList<>();
-        private boolean back;
+        private boolean retried;
 
-        private Asked(Stream stream) {
-            this.stream = stream;
-            stream.tally.asked++;
+        private CallerRequest(CallerGroup group) {
+            this.group = group;
+            group.tally.requested++;
         }
 
         void send() {
-            FleetOperation operation = stream.operation;
+            FleetOperation operation = group.operation;
             Message.Content content = new Message.Content(
                     operation.once() ? "POST" : "GET",
-                    "/" + operation.name() + "/" + numbers++,
+                    "/" + operation.name() + "/" + nextNumber++,
                     List.of(),
                     new byte[0]);
-            long waited = lab.world().nanos() - since;
+            long elapsed = lab.clock().nanos() - firstSentNanos;
             RoutedRequest routed = new RoutedRequest(
                     operation.route(),
                     operation.service(),
                     content,
-                    stream.importance,
+                    group.importance,
                     Optional.empty(),
-                    stream.waitsMillis * Lab.MILLI - waited,
-                    waited);
+                    group.timeoutMillis * Lab.MILLI - elapsed,
+                    elapsed);
             entry.node().core().engine().submit(routed, this);
         }
 
@@ -199,24 +199,24 @@
 
         @Override
         public void end() {
-            if (statuses.getLast() >= FAILED_FROM) {
-                ended("failed");
+            if (statuses.getLast() >= MIN_FAILED_STATUS) {
+                recordOutcome("failed");
                 return;
             }
-            boolean inTime = lab.world().nanos() - since <= stream.operation.targetMillis() * Lab.MILLI;
-            stream.tally.inTime += inTime ? 1 : 0;
-            ended(inTime ? "served" : "late");
+            boolean inTime = lab.clock().nanos() - firstSentNanos <= group.operation.targetMillis() * Lab.MILLI;
+            group.tally.inTime += inTime ? 1 : 0;
+            recordOutcome(inTime ? "served" : "late");
         }
 
         @Override
         public void refused(Refusal refusal) {
-            if (refusal.state() == RunState.NOT_RUN && !back) {
-                back = true;
-                long after = Math.min(refusal.retryAfterMillis(), stream.waitsMillis / HEEDED_SHARE);
-                lab.world().after(after * Lab.MILLI, this::send);
+            if (refusal.state() == RunState.NOT_RUN && !retried) {
+                retried = true;
+                long after = Math.min(refusal.retryAfterMillis(), group.timeoutMillis / MAX_RETRY_DELAY_DIVISOR);
+                lab.clock().after(after * Lab.MILLI, this::send);
                 return;
             }
-            ended(
+            recordOutcome(
                     refusal.state() == RunState.NOT_RUN
                             ? REFUSED + refusal.reason().label()
                             : "failed");
@@ -224,11 +224,11 @@
 
         @Override
         public void aborted() {
-            ended("failed");
+            recordOutcome("failed");
         }
 
-        private void ended(String how) {
-            stream.tally.ends.merge(how, 1, Integer::sum);
+        private void recordOutcome(String outcome) {
+            group.tally.outcomes.merge(outcome, 1, Integer::sum);
         }
     }
 }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingUpstream.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CrashingUpstream.java
@@ -8,21 +8,21 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * One start of an upstream that answers lookups after a while, and ends when it has worked for a moment on a path that
- * it can't bear.
+ * One incarnation of an upstream that answers lookups after a random time, and crashes a moment after the start of a
+ * request that its host says crashes it.
  */
-final class EndingUpstream implements UpstreamPort {
+final class CrashingUpstream implements UpstreamPort {
     private static final int OK = 200;
     private static final double WORK_MILLIS = 90;
-    private static final double BAD_WORK_MILLIS = 100;
+    private static final double MILLIS_TO_CRASH = 100;
 
-    private final NodeTimers process;
+    private final ProcessTimers process;
     private final RandomGenerator random;
     private final Host host;
     private final List<Work> running = new ArrayList<>();
-    private boolean over;
+    private boolean crashed;
 
-    EndingUpstream(NodeTimers process, RandomGenerator random, Host host) {
+    CrashingUpstream(ProcessTimers process, RandomGenerator random, Host host) {
         this.process = process;
         this.random = random;
         this.host = host;
@@ -31,44 +31,44 @@
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
         Work work = new Work(listener);
-        if (over) {
+        if (crashed) {
             process.after(Lab.MILLI / 2, listener::unreachable);
             return work;
         }
         running.add(work);
-        if (host.bad(handOver)) {
-            process.after(millis(BAD_WORK_MILLIS), this::end);
+        if (host.crashesUpstream(handOver)) {
+            process.after(millis(MILLIS_TO_CRASH), this::crash);
         } else {
             process.after(millis(WORK_MILLIS), work::answer);
         }
         return work;
     }
 
-    /** Ends, with all that it has. */
-    void end() {
-        if (over) {
+    /** Crashes; all requests in flight fail. */
+    void crash() {
+        if (crashed) {
             return;
         }
-        over = true;
+        crashed = true;
         List.copyOf(running).forEach(w -> process.after(Lab.MILLI / 2, w.listener::upstreamCrashed));
         running.clear();
-        host.ended();
+        host.crashed();
     }
 
     private long millis(double mean) {
         return (long) (mean * (0.5 + random.nextDouble()) * Lab.MILLI);
     }
 
-    /** What stands around an upstream. */
+    /** Decides which requests crash the upstream, and is notified of a crash. */
     interface Host {
-        /** Takes notice that a call begins to run; tells whether the upstream can't bear it. */
-        boolean bad(HandOver handOver);
+        /** Called when a call starts to run; returns whether the call crashes the upstream. */
+        boolean crashesUpstream(HandOver handOver);
 
-        /** Takes notice that the upstream has ended. */
-        void ended();
+        /** Called when the upstream has crashed. */
+        void crashed();
     }
 
-    /** One call at work. */
+    /** One running call. */
     private final class Work implements Exchange {
         private final Listener listener;
 
--- a/bench/src/test/java/org/verbenadyke/bench/lab/FleetOperation.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/FleetOperation.java
@@ -8,16 +8,16 @@
 import org.verbenadyke.kernel.route.ServiceShare;
 
 /**
- * What a service of a {@link WideFleet} does for one kind of call.
+ * What a service of a {@link CallerFleet} does for one kind of call.
  *
  * @param name the operation, and the first segment of its path
- * @param service who does it
+ * @param service the service that provides it
  * @param once whether it may run at most once
- * @param workMillis the mean time it takes, without the calls below
- * @param targetMillis the latency up to which an answer is worth most
- * @param timeoutMillis the longest that its caller waits
- * @param below the operations that it calls
- * @param together whether it calls them at the same time
+ * @param workMillis the mean time that it takes without its nested calls
+ * @param targetMillis the target latency, up to which an answer counts as in time
+ * @param timeoutMillis the timeout of its caller
+ * @param nestedCalls the nested operations that it calls
+ * @param parallel whether the nested calls run at the same time
  */
 record FleetOperation(
         String name,
@@ -26,21 +26,21 @@
         double workMillis,
         long targetMillis,
         long timeoutMillis,
-        List<FleetOperation> below,
-        boolean together) {
+        List<FleetOperation> nestedCalls,
+        boolean parallel) {
     private static final int ATTEMPTS = 2;
 
     static FleetOperation of(String name, String service, double workMillis, long targetMillis, long timeoutMillis) {
         return new FleetOperation(name, service, false, workMillis, targetMillis, timeoutMillis, List.of(), false);
     }
 
-    FleetOperation calling(int times, FleetOperation other, boolean atOnce) {
+    FleetOperation calling(int times, FleetOperation other, boolean inParallel) {
         List<FleetOperation> calls = Collections.nCopies(times, other);
-        return new FleetOperation(name, service, once, workMillis, targetMillis, timeoutMillis, calls, atOnce);
+        return new FleetOperation(name, service, once, workMillis, targetMillis, timeoutMillis, calls, inParallel);
     }
 
     FleetOperation atMostOnce() {
-        return new FleetOperation(name, service, true, workMillis, targetMillis, timeoutMillis, below, together);
+        return new FleetOperation(name, service, true, workMillis, targetMillis, timeoutMillis, nestedCalls, parallel);
     }
 
     Route route() {
--- a/bench/src/test/java/org/verbenadyke/bench/lab/FleetUpstream.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/FleetUpstream.java
@@ -15,8 +15,8 @@
 import org.verbenadyke.kernel.serve.UpstreamPort;
 
 /**
- * An upstream that takes what it is given, works for a while at its own speed, makes its calls through the node beside
- * it, and fails when one of them fails.
+ * An upstream that accepts every call, works for a random time at its own speed, makes nested calls through its
+ * colocated node, and fails when a nested call fails.
  */
 final class FleetUpstream implements UpstreamPort {
     private static final int OK = 200;
@@ -37,12 +37,12 @@
     @Override
     public Exchange start(HandOver handOver, Listener listener) {
         Work work = new Work(handOver, listener);
-        work.pause(work::callBelow);
+        work.workHalf(work::startNestedCalls);
         return work;
     }
 
     /**
-     * One call at work: half of its own time before its calls, half after them.
+     * One running call: spends half of its own time before its nested calls and half after them.
      */
     private final class Work implements Exchange {
         private final HandOver handOver;
@@ -50,7 +50,7 @@
         private final FleetOperation operation;
         private final long deadline;
         private int answered;
-        private boolean headGiven;
+        private boolean headSent;
         private boolean ended;
 
         private Work(HandOver handOver, Listener listener) {
@@ -60,7 +60,7 @@
             this.deadline = node.process().nanos() + handOver.remainingNanos();
         }
 
-        void pause(Runnable then) {
+        void workHalf(Runnable then) {
             double half = operation.workMillis() / 2 / speed * (0.5 + random.nextDouble());
             node.process().after((long) (half * Lab.MILLI), () -> {
                 if (!ended) {
@@ -69,51 +69,51 @@
             });
         }
 
-        private void callBelow() {
-            if (operation.below().isEmpty()) {
-                pause(() -> answer(OK));
+        private void startNestedCalls() {
+            if (operation.nestedCalls().isEmpty()) {
+                workHalf(() -> answer(OK));
                 return;
             }
-            int first = operation.together() ? operation.below().size() : 1;
-            for (int i = 0; i < first; i++) {
-                call(operation.below().get(i));
+            int initialCalls = operation.parallel() ? operation.nestedCalls().size() : 1;
+            for (int i = 0; i < initialCalls; i++) {
+                call(operation.nestedCalls().get(i));
             }
         }
 
-        private void call(FleetOperation below) {
+        private void call(FleetOperation nested) {
             Optional<CallContext> parent = node.core().engine().server().context(handOver.contextToken());
             if (parent.isEmpty()) {
                 return;
             }
-            long left = Math.min(deadline - node.process().nanos(), below.timeoutMillis() * Lab.MILLI);
-            Message.Content content = new Message.Content("GET", "/" + below.name() + "/x", List.of(), new byte[0]);
+            long left = Math.min(deadline - node.process().nanos(), nested.timeoutMillis() * Lab.MILLI);
+            Message.Content content = new Message.Content("GET", "/" + nested.name() + "/x", List.of(), new byte[0]);
             RoutedRequest routed =
-                    new RoutedRequest(below.route(), below.service(), content, Importance.NORMAL, parent, left, 0);
-            node.core().engine().submit(routed, new Below());
+                    new RoutedRequest(nested.route(), nested.service(), content, Importance.NORMAL, parent, left, 0);
+            node.core().engine().submit(routed, new NestedCallSink());
         }
 
-        private void answeredBelow(boolean whole) {
-            if (ended || headGiven) {
+        private void nestedCallEnded(boolean succeeded) {
+            if (ended || headSent) {
                 return;
             }
             answered++;
-            if (!whole) {
+            if (!succeeded) {
                 answer(FAILED);
-            } else if (answered == operation.below().size()) {
-                pause(() -> answer(OK));
-            } else if (!operation.together()) {
-                call(operation.below().get(answered));
+            } else if (answered == operation.nestedCalls().size()) {
+                workHalf(() -> answer(OK));
+            } else if (!operation.parallel()) {
+                call(operation.nestedCalls().get(answered));
             }
         }
 
         private void answer(int status) {
-            headGiven = true;
+            headSent = true;
             listener.head(status, List.of(new HeaderField("content-length", "0")));
         }
 
         @Override
         public void request() {
-            if (headGiven && !ended) {
+            if (headSent && !ended) {
                 ended = true;
                 listener.end();
             }
@@ -125,9 +125,9 @@
         }
 
         /**
-         * Takes the answer of a call below.
+         * Receives the answer of a nested call.
          */
-        private final class Below implements AnswerSink {
+        private final class NestedCallSink implements AnswerSink {
             private int status;
 
             @Override
@@ -142,17 +142,17 @@
 
             @Override
             public void end() {
-                answeredBelow(status == OK);
+                nestedCallEnded(status == OK);
             }
 
             @Override
             public void refused(Refusal refusal) {
-                answeredBelow(false);
+                nestedCallEnded(false);
             }
 
             @Override
             public void aborted() {
-                answeredBelow(false);
+                nestedCallEnded(false);
             }
         }
     }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/SoakTest.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/SoakTest.java
@@ -14,15 +14,15 @@
 /** Tests {@link Soak} on a fixed set of seeds. */
 final class SoakTest {
     private static final int SECONDS = 25;
-    private static final int RATE = 80;
-    private static final int CRASH_RATE = 120;
+    private static final int REQUESTS_PER_SECOND = 80;
+    private static final int CRASH_REQUESTS_PER_SECOND = 120;
     private static final long[] CRASH_SEEDS = {1, 4, 11, 13};
     private static final long[] MIXED_SEEDS = {1, 3, 4};
 
     @ParameterizedTest
     @ValueSource(longs = {2, 7, 11, 14, 19, 22, 115})
-    void keepsEveryPromise(long seed) {
-        SoakReport report = Soak.run(SoakSettings.keyed(seed, SECONDS, RATE));
+    void violatesNoInvariant(long seed) {
+        SoakReport report = Soak.run(SoakSettings.keyed(seed, SECONDS, REQUESTS_PER_SECOND));
         assertEquals(List.of(), report.violations());
     }
 
@@ -35,14 +35,15 @@
 
     static Stream<SoakSettings> crashRuns() {
         Stream<SoakSettings> crashes =
-                LongStream.of(CRASH_SEEDS).mapToObj(s -> SoakSettings.crashes(s, SECONDS, CRASH_RATE));
-        Stream<SoakSettings> mixed = LongStream.of(MIXED_SEEDS).mapToObj(s -> SoakSettings.all(s, SECONDS, CRASH_RATE));
+                LongStream.of(CRASH_SEEDS).mapToObj(s -> SoakSettings.crashes(s, SECONDS, CRASH_REQUESTS_PER_SECOND));
+        Stream<SoakSettings> mixed =
+                LongStream.of(MIXED_SEEDS).mapToObj(s -> SoakSettings.all(s, SECONDS, CRASH_REQUESTS_PER_SECOND));
         return Stream.concat(crashes, mixed);
     }
 
     @Test
     void sameSeedGivesSameRun() {
-        SoakSettings settings = SoakSettings.all(5, 8, RATE);
+        SoakSettings settings = SoakSettings.all(5, 8, REQUESTS_PER_SECOND);
         assertEquals(Soak.run(settings).digest(), Soak.run(settings).digest());
     }
 }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/WideFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/WideFleet.java
@@ -7,19 +7,19 @@
 import org.verbenadyke.kernel.call.Importance;
 
 /**
- * Many nodes, each with few requests of its own: lookups of least importance and filings of most importance, both of
- * which make eight calls to the few upstreams of the deepest service. Half the nodes and half the load of a fleet of
- * about ninety, so that each node sees as many requests a second as there.
+ * Many nodes, each with few requests of its own: lookups of the lowest importance and filings of the highest, both of
+ * which make eight calls to the few upstreams of the deepest service. Models a fleet of about ninety nodes with half
+ * the nodes and half the load, so that each node receives as many requests per second as in the full fleet.
  */
 final class WideFleet {
     private static final double[] SPEEDS = {0.6, 1.0, 1.4};
     private static final int WIDE_SLOTS = 76;
     private static final int DEEP_SLOTS = 153;
-    private static final long WAITS_MILLIS = 5_000;
-    private static final double LOOKUPS = 413;
-    private static final double FILINGS = 157;
-    private static final double READS = 118;
-    private static final double DOWNLOADS = 77;
+    private static final long TIMEOUT_MILLIS = 5_000;
+    private static final double LOOKUPS_PER_SECOND = 413;
+    private static final double FILINGS_PER_SECOND = 157;
+    private static final double READS_PER_SECOND = 118;
+    private static final double DOWNLOADS_PER_SECOND = 77;
 
     private static final FleetOperation GEO = FleetOperation.of("geo", "survey-view", 110, 300, 700);
     private static final FleetOperation MANIFEST =
@@ -56,33 +56,34 @@
         }
     }
 
-    /** Lets a load, a multiple of the usual one, begin at once on a fleet that is at rest. */
-    static Map<Importance, CallerFleet.Tally> play(long seed, double times, long nanos) {
+    /** Applies a multiple of the usual load, without a ramp, to an idle fleet. */
+    static Map<Importance, CallerFleet.Tally> run(long seed, double times, long nanos) {
         WideFleet wide = new WideFleet(seed, times);
         wide.load(nanos, 0);
         return wide.tallies;
     }
 
-    /** The same with downloads of the least importance, which make no calls; returns what became of them. */
-    static CallerFleet.Tally downloads(long seed, double times, long nanos) {
+    /** Like {@link #run}, with downloads of the lowest importance, which make no nested calls; returns their tally. */
+    static CallerFleet.Tally runWithDownloads(long seed, double times, long nanos) {
         WideFleet wide = new WideFleet(seed, times);
-        wide.load(nanos, DOWNLOADS);
+        wide.load(nanos, DOWNLOADS_PER_SECOND);
         return wide.downloads;
     }
 
     private void load(long nanos, double downloadsPerSecond) {
-        long end = fleet.lab().world().nanos() + nanos;
-        arrive(LOOKUP, Importance.LOW, tallies.get(Importance.LOW), LOOKUPS, end);
-        arrive(READ, Importance.NORMAL, tallies.get(Importance.NORMAL), READS, end);
-        arrive(FILING, Importance.HIGH, tallies.get(Importance.HIGH), FILINGS, end);
+        long end = fleet.lab().clock().nanos() + nanos;
+        generateLoad(LOOKUP, Importance.LOW, tallies.get(Importance.LOW), LOOKUPS_PER_SECOND, end);
+        generateLoad(READ, Importance.NORMAL, tallies.get(Importance.NORMAL), READS_PER_SECOND, end);
+        generateLoad(FILING, Importance.HIGH, tallies.get(Importance.HIGH), FILINGS_PER_SECOND, end);
         if (downloadsPerSecond > 0) {
-            arrive(DOWNLOAD, Importance.LOW, downloads, downloadsPerSecond, end);
+            generateLoad(DOWNLOAD, Importance.LOW, downloads, downloadsPerSecond, end);
         }
         fleet.lab().advance(nanos + 5 * Lab.SECOND);
     }
 
-    private void arrive(
+    private void generateLoad(
             FleetOperation operation, Importance importance, CallerFleet.Tally tally, double perSecond, long end) {
-        fleet.arrive(new CallerFleet.Stream(operation, importance, WAITS_MILLIS, tally), perSecond * times, end);
+        fleet.generateLoad(
+                new CallerFleet.CallerGroup(operation, importance, TIMEOUT_MILLIS, tally), perSecond * times, end);
     }
 }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/WideFleetTest.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/WideFleetTest.java
@@ -10,43 +10,43 @@
 
 /** Tests the request path on {@link WideFleet}. */
 final class WideFleetTest {
-    /** The most important requests alone ask for two thirds of the deepest service; all together for three times it. */
+    /** The most important requests alone need two thirds of the deepest service; all together need three times it. */
     @ParameterizedTest
     @CsvSource({"3, 1.7, 6", "4, 1.7, 6", "5, 2.04, 2", "6, 2.04, 12"})
     void servesTheMostImportantFromTheFirstSecondOn(long seed, double times, long seconds) {
-        Map<Importance, CallerFleet.Tally> tallies = WideFleet.play(seed, times, seconds * Lab.SECOND);
+        Map<Importance, CallerFleet.Tally> tallies = WideFleet.run(seed, times, seconds * Lab.SECOND);
         System.out.println("wide fleet, seed " + seed + ", " + times + " times, " + seconds + " s: " + tallies);
-        double filings = tallies.get(Importance.HIGH).share();
+        double filings = tallies.get(Importance.HIGH).inTimeShare();
         assertTrue(filings > 0.85, "filings in time: " + filings);
     }
 
-    /** What can't be finished is to be turned away where it enters, before any work is done for it. */
+    /** A request that can't be finished must be refused at its entry node, before any work is done for it. */
     @ParameterizedTest
     @CsvSource({"3, 1.7, 6", "6, 2.04, 12"})
-    void turnsAwayWhatCannotBeFinishedWhereItEnters(long seed, double times, long seconds) {
+    void refusesAtEntryWhatCannotBeFinished(long seed, double times, long seconds) {
         CallerFleet.Tally lookups =
-                WideFleet.play(seed, times, seconds * Lab.SECOND).get(Importance.LOW);
+                WideFleet.run(seed, times, seconds * Lab.SECOND).get(Importance.LOW);
         System.out.println("wide fleet, lookups, seed " + seed + ": " + lookups);
-        assertTrue(lookups.failed() < 0.25, "lookups that failed below: " + lookups);
+        assertTrue(lookups.failedShare() < 0.25, "lookups that failed in a nested call: " + lookups);
     }
 
-    /** Calls that wait for the deepest service fill the one that downloads go to, of which these need few places. */
+    /** Calls that wait for the deepest service occupy the service of the downloads, which need few of its slots. */
     @ParameterizedTest
     @CsvSource({"3, 1.7, 6", "6, 2.04, 12"})
-    void servesDownloadsThatNeverGoToTheServiceThatIsShort(long seed, double times, long seconds) {
-        CallerFleet.Tally downloads = WideFleet.downloads(seed, times, seconds * Lab.SECOND);
+    void servesDownloadsThatBypassTheOverloadedService(long seed, double times, long seconds) {
+        CallerFleet.Tally downloads = WideFleet.runWithDownloads(seed, times, seconds * Lab.SECOND);
         System.out.println("wide fleet, downloads, seed " + seed + ": " + downloads);
-        assertTrue(downloads.share() > 0.65, "downloads in time: " + downloads);
+        assertTrue(downloads.inTimeShare() > 0.65, "downloads in time: " + downloads);
     }
 
-    /** At 0.7 times the load 85 % of the deepest service are asked for, at 0.8 times 97 %: more than is aimed at. */
+    /** 0.7 times the load needs 85 % of the deepest service; 0.8 times needs 97 %, above the target utilization. */
     @ParameterizedTest
     @CsvSource({"3, 0.7, 8, 0.99", "3, 0.8, 8, 0.95"})
     void servesNearlyEverythingBelowTheCapacity(long seed, double times, long seconds, double lookups) {
-        Map<Importance, CallerFleet.Tally> tallies = WideFleet.play(seed, times, seconds * Lab.SECOND);
+        Map<Importance, CallerFleet.Tally> tallies = WideFleet.run(seed, times, seconds * Lab.SECOND);
         System.out.println("wide fleet, seed " + seed + ", " + times + " times, " + seconds + " s: " + tallies);
-        assertTrue(tallies.get(Importance.LOW).share() > lookups, "lookups: " + tallies);
-        assertTrue(tallies.get(Importance.NORMAL).share() > 0.99, "reads: " + tallies);
-        assertTrue(tallies.get(Importance.HIGH).share() > 0.99, "filings: " + tallies);
+        assertTrue(tallies.get(Importance.LOW).inTimeShare() > lookups, "lookups: " + tallies);
+        assertTrue(tallies.get(Importance.NORMAL).inTimeShare() > 0.99, "reads: " + tallies);
+        assertTrue(tallies.get(Importance.HIGH).inTimeShare() > 0.99, "filings: " + tallies);
     }
 }
