--- a/bench/src/test/java/org/verbenadyke/bench/lab/EndingRequestTest.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/EndingRequestTest.java
@@ -18,8 +18,8 @@
  * servers in fifteen seconds: nodes retried it at once after each lost connection, its caller sent it to another node
  * 1.2 s later, and restarted servers crashed again within their first second. From 15 to 17 s only three of 952
  * lookups were answered in time. The retry limit for each request did not help, since each resend was a new request
- * to the nodes: they granted 54 retries to 54 requests. No node knew which
- * requests a server had in flight when it crashed.
+ * to the nodes: they granted 54 retries to 54 requests. No node knew which requests a server had in
+ * flight when it crashed.
  */
 final class EndingRequestTest {
     private static final int SERVERS = 4;
