--- a/bench/src/main/java/org/verbenadyke/bench/real/OpenLoop.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/OpenLoop.java
@@ -12,22 +12,23 @@
 import io.servicetalk.http.api.StreamingHttpClient;
 
 /**
- * Sends requests at a fixed rate, whatever the answers do, and notes the time from when each was due.
+ * Sends requests at a fixed rate, regardless of the answers, and records each latency from the time that the request
+ * was due.
  */
 final class OpenLoop {
-    private static final long HIGHEST_MICROS = 60_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_MICROS = 60_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final int OK = 200;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long NANOS_PER_MICRO = 1_000L;
-    private static final long DRAIN_SECONDS = 10;
+    private static final long MAX_DRAIN_SECONDS = 10;
 
-    private final Histogram micros = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
+    private final Histogram micros = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     private final AtomicInteger failed = new AtomicInteger();
 
-    /** Runs at a rate; one sender thread. */
+    /** Sends {@code count} requests from the calling thread and waits a limited time for the answers. */
     void run(StreamingHttpClient client, String target, int perSecond, int count) throws InterruptedException {
-        CountDownLatch open = new CountDownLatch(count);
+        CountDownLatch pending = new CountDownLatch(count);
         long start = System.nanoTime();
         for (int i = 0; i < count; i++) {
             long due = start + i * NANOS_PER_SECOND / perSecond;
@@ -43,11 +44,11 @@
                         if (status != OK) {
                             failed.incrementAndGet();
                         }
-                        micros.recordValue(Math.min(HIGHEST_MICROS, (System.nanoTime() - due) / NANOS_PER_MICRO));
-                        open.countDown();
+                        micros.recordValue(Math.min(MAX_MICROS, (System.nanoTime() - due) / NANOS_PER_MICRO));
+                        pending.countDown();
                     });
         }
-        open.await(DRAIN_SECONDS, TimeUnit.SECONDS);
+        pending.await(MAX_DRAIN_SECONDS, TimeUnit.SECONDS);
     }
 
     Histogram micros() {
--- a/bench/src/main/java/org/verbenadyke/bench/real/Overhead.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Overhead.java
@@ -20,27 +20,27 @@
 import io.servicetalk.http.netty.RetryingHttpRequesterFilter;
 
 /**
- * Measures what two nodes add to a call: the same caller to the same upstream, directly and through the nodes, in turns
- * within one run.
+ * Measures the latency that two nodes add to a call: the same caller calls the same upstream directly and through the
+ * nodes, alternately within one run.
  */
 public final class Overhead {
-    private static final int[] RATES = {200, 500, 1_000, 2_000};
-    private static final int WARM_UP = 24_000;
+    private static final int[] REQUESTS_PER_SECOND = {200, 500, 1_000, 2_000};
+    private static final int WARM_UP_REQUESTS = 24_000;
     private static final int WARM_UP_RATE = 2_000;
-    private static final int SECONDS = 3;
+    private static final int SECONDS_PER_ROUND = 3;
     private static final int ROUNDS = 2;
     private static final double MICROS = 1_000.0;
-    private static final double MEGA = 1024.0 * 1024.0;
-    private static final double[] QUANTILES = {50, 99, 99.9};
+    private static final double BYTES_PER_MB = 1024.0 * 1024.0;
+    private static final double[] PERCENTILES = {50, 99, 99.9};
     private static final String PATH = "/survey?id=1";
 
     private Overhead() {}
 
     /**
-     * Measures.
+     * Runs the measurement.
      *
-     * @param home the folder of the project
-     * @param ioThreads how many threads of a node serve connections
+     * @param home the root folder of the project
+     * @param ioThreads how many I/O threads each node has
      * @return the figures by name
      * @throws Exception when the processes can't be started
      */
@@ -48,22 +48,22 @@
         Workload workload = new Workload("overhead", "r", List.of("dc-1"), twoServers(), List.of());
         Map<String, Object> figures = new LinkedHashMap<>();
         try (Fleet fleet = Fleet.start(workload, new FleetOptions(home, "standard", ioThreads))) {
-            Server far = fleet.servers("survey-view").getFirst();
-            Server near = fleet.servers("edge").getFirst();
-            StreamingHttpClient direct = client(far.address());
-            StreamingHttpClient through = client(near.entry());
-            awaitReady(through);
-            new OpenLoop().run(direct, PATH, WARM_UP_RATE, WARM_UP);
-            new OpenLoop().run(through, "/survey-view" + PATH, WARM_UP_RATE, WARM_UP);
-            for (int rate : RATES) {
-                measure(figures, rate, direct, through, List.of(near, far));
+            Server calledServer = fleet.servers("survey-view").getFirst();
+            Server entryServer = fleet.servers("edge").getFirst();
+            StreamingHttpClient direct = client(calledServer.address());
+            StreamingHttpClient throughNodes = client(entryServer.entry());
+            awaitReady(throughNodes);
+            new OpenLoop().run(direct, PATH, WARM_UP_RATE, WARM_UP_REQUESTS);
+            new OpenLoop().run(throughNodes, "/survey-view" + PATH, WARM_UP_RATE, WARM_UP_REQUESTS);
+            for (int rate : REQUESTS_PER_SECOND) {
+                measure(figures, rate, direct, throughNodes, List.of(entryServer, calledServer));
             }
-            memory(figures, List.of(near, far));
+            memory(figures, List.of(entryServer, calledServer));
         }
         return figures;
     }
 
-    /** An upstream that answers at once, and a server whose node is only an entry. */
+    /** Returns a service whose upstream answers immediately, and one whose node only serves as the entry. */
     static Map<String, Workload.Service> twoServers() {
         return Map.of(
                 "survey-view",
@@ -76,34 +76,34 @@
             Map<String, Object> figures,
             int rate,
             StreamingHttpClient direct,
-            StreamingHttpClient through,
+            StreamingHttpClient throughNodes,
             List<Server> nodes)
             throws InterruptedException {
-        OpenLoop plain = new OpenLoop();
-        OpenLoop ours = new OpenLoop();
+        OpenLoop directLoop = new OpenLoop();
+        OpenLoop nodeLoop = new OpenLoop();
         Duration cpu = Duration.ZERO;
         int calls = 0;
         for (int round = 0; round < ROUNDS; round++) {
-            plain.run(direct, PATH, rate, rate * SECONDS);
+            directLoop.run(direct, PATH, rate, rate * SECONDS_PER_ROUND);
             Duration before = cpu(nodes);
-            ours.run(through, "/survey-view" + PATH, rate, rate * SECONDS);
+            nodeLoop.run(throughNodes, "/survey-view" + PATH, rate, rate * SECONDS_PER_ROUND);
             cpu = cpu.plus(cpu(nodes).minus(before));
-            calls += rate * SECONDS;
+            calls += rate * SECONDS_PER_ROUND;
         }
         String prefix = rate + "/s.";
-        for (double q : QUANTILES) {
-            figures.put(prefix + "direct.p" + q + "Ms", millis(plain.micros(), q));
-            figures.put(prefix + "added.p" + q + "Ms", millis(ours.micros(), q) - millis(plain.micros(), q));
+        for (double q : PERCENTILES) {
+            figures.put(prefix + "direct.p" + q + "Ms", millis(directLoop.micros(), q));
+            figures.put(prefix + "added.p" + q + "Ms", millis(nodeLoop.micros(), q) - millis(directLoop.micros(), q));
         }
         figures.put(prefix + "cpuMicrosPerCallBothNodes", cpu.toNanos() / MICROS / calls);
-        figures.put(prefix + "failed", plain.failed() + ours.failed());
+        figures.put(prefix + "failed", directLoop.failed() + nodeLoop.failed());
     }
 
     private static void memory(Map<String, Object> figures, List<Server> nodes) {
         for (Server s : nodes) {
             s.node().ifPresent(p -> {
-                figures.put(s.id() + ".residentMb", Processes.resident(p) / MEGA);
-                figures.put(s.id() + ".peakMb", Processes.peak(p) / MEGA);
+                figures.put(s.id() + ".residentMb", Processes.residentBytes(p) / BYTES_PER_MB);
+                figures.put(s.id() + ".peakMb", Processes.peakBytes(p) / BYTES_PER_MB);
             });
         }
     }
@@ -111,7 +111,7 @@
     private static Duration cpu(List<Server> nodes) {
         Duration sum = Duration.ZERO;
         for (Server s : nodes) {
-            sum = sum.plus(s.node().map(Processes::cpu).orElse(Duration.ZERO));
+            sum = sum.plus(s.node().map(Processes::cpuTime).orElse(Duration.ZERO));
         }
         return sum;
     }
@@ -127,11 +127,11 @@
                 .buildStreaming();
     }
 
-    static void awaitReady(StreamingHttpClient through) throws InterruptedException {
+    static void awaitReady(StreamingHttpClient throughNodes) throws InterruptedException {
         List<Integer> failures = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             OpenLoop probe = new OpenLoop();
-            probe.run(through, "/survey-view" + PATH, 10, 1);
+            probe.run(throughNodes, "/survey-view" + PATH, 10, 1);
             if (probe.failed() == 0) {
                 return;
             }
--- a/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
@@ -28,24 +28,24 @@
 import io.servicetalk.http.netty.HttpClients;
 
 /**
- * A randomised run of real processes with real signals: kills, crashes of many nodes that start again at once, pauses
- * past every patience, planned restarts, outages and slowness of the log. Callers send filings again under the same key
- * through other nodes, and others once without a key. The faults are the same for a seed; the timing of a real machine
- * is not.
+ * A randomised run of real processes with real signals: kills, crashes of many nodes that restart immediately, pauses
+ * longer than every timeout, graceful restarts, outages and delays of the log. Callers resend some filings with the
+ * same key through other nodes, and send others once without a key. The faults are the same for the same seed; the
+ * timing of the machine is not.
  */
 public final class ProcessSoak {
     private static final long GAP_MILLIS = 10;
     private static final long DEADLINE_MILLIS = 2_500;
-    /** Longer than a crashed node takes to start again beside others, so that a filing may outlast the crash. */
+    /** Longer than a crashed node takes to restart while others do too, so that a filing may outlast the crash. */
     private static final long UNKEYED_DEADLINE_MILLIS = 9_000;
 
     private static final long SETTLE_MILLIS = 14_000;
-    private static final int FAULT_MOST_MILLIS = 6_000;
+    private static final int MAX_FAULT_MILLIS = 6_000;
     private static final double RESEND_SHARE = 0.5;
     private static final double UNKEYED_SHARE = 0.5;
-    private static final int CRASHES_IN_TEN = 5;
-    private static final long RESEND_MILLIS = 1_500;
-    private static final int READY_TRIES = 200;
+    private static final int CRASHES_PER_TEN_FAULTS = 5;
+    private static final long RESEND_DELAY_MILLIS = 1_500;
+    private static final int MAX_READY_TRIES = 200;
 
     private final Workload workload;
     private final Fleet fleet;
@@ -55,12 +55,12 @@
     private final Map<String, Integer> answers = new ConcurrentSkipListMap<>();
     private final Map<String, Integer> faults = new TreeMap<>();
     private final List<String> violations = Collections.synchronizedList(new ArrayList<>());
-    private final List<Pending> resends = new ArrayList<>();
+    private final List<Resend> resends = new ArrayList<>();
     private final AtomicInteger sent = new AtomicInteger();
     private Caller caller;
     private volatile boolean crashing;
-    private Runnable cure = () -> {};
-    private long cureAt = Long.MAX_VALUE;
+    private Runnable endFault = () -> {};
+    private long faultEndMillis = Long.MAX_VALUE;
 
     private ProcessSoak(Workload workload, Fleet fleet, long seed) {
         this.workload = workload;
@@ -70,12 +70,12 @@
     }
 
     /**
-     * Runs.
+     * Starts a fleet, applies load and faults, and checks the invariants.
      *
-     * @param home the folder of the project
-     * @param seed chooses the faults
-     * @param seconds how long demand and faults last
-     * @return the broken promises, in words
+     * @param home the root folder of the project
+     * @param seed the random seed of the faults
+     * @param seconds the duration of load and faults
+     * @return a description of each violated invariant
      * @throws Exception when the processes can't be started
      */
     public static List<String> run(Path home, long seed, int seconds) throws Exception {
@@ -99,7 +99,7 @@
     }
 
     private void awaitReady() throws InterruptedException {
-        for (int i = 0; i < READY_TRIES; i++) {
+        for (int i = 0; i < MAX_READY_TRIES; i++) {
             AtomicInteger whole = new AtomicInteger();
             for (Server s : fleet.servers()) {
                 caller.send(workload.requests().getFirst(), "ready", "", DEADLINE_MILLIS, o -> {
@@ -118,26 +118,26 @@
 
     private void load(long millis) throws IOException, InterruptedException {
         long end = System.currentTimeMillis() + millis;
-        long next = System.currentTimeMillis() + FAULT_MOST_MILLIS / 2;
+        long nextFaultMillis = System.currentTimeMillis() + MAX_FAULT_MILLIS / 2;
         while (System.currentTimeMillis() < end) {
             long now = System.currentTimeMillis();
-            if (now >= cureAt) {
-                cureAt = Long.MAX_VALUE;
-                cure.run();
-                next = now + faultRandom.nextInt(FAULT_MOST_MILLIS);
+            if (now >= faultEndMillis) {
+                faultEndMillis = Long.MAX_VALUE;
+                endFault.run();
+                nextFaultMillis = now + faultRandom.nextInt(MAX_FAULT_MILLIS);
             }
-            if (now >= next && cureAt == Long.MAX_VALUE) {
-                provoke();
-                next = Long.MAX_VALUE;
+            if (now >= nextFaultMillis && faultEndMillis == Long.MAX_VALUE) {
+                injectFault();
+                nextFaultMillis = Long.MAX_VALUE;
             }
             sendOne();
             if (crashing) {
                 sendUnkeyed();
             }
-            sendAgain(now);
+            sendDueResends(now);
             TimeUnit.MILLISECONDS.sleep(GAP_MILLIS);
         }
-        cure.run();
+        endFault.run();
     }
 
     private void sendOne() {
@@ -148,11 +148,11 @@
         String key = keyed ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
         send(kind, id, key);
         if (keyed && random.nextDouble() < RESEND_SHARE) {
-            resends.add(new Pending(kind, id, key, System.currentTimeMillis() + RESEND_MILLIS));
+            resends.add(new Resend(kind, id, key, System.currentTimeMillis() + RESEND_DELAY_MILLIS));
         }
     }
 
-    /** Sends one more filing without a key, so that many are under way when nodes crash. */
+    /** Sends an extra filing without a key, so that many are in flight when nodes crash. */
     private void sendUnkeyed() {
         workload.requests().stream()
                 .filter(Workload.RequestKind::once)
@@ -160,8 +160,8 @@
                 .ifPresent(k -> send(k, k.name() + "-" + sent.incrementAndGet(), ""));
     }
 
-    private void sendAgain(long now) {
-        List<Pending> due = resends.stream().filter(p -> p.at() <= now).toList();
+    private void sendDueResends(long now) {
+        List<Resend> due = resends.stream().filter(p -> p.atMillis() <= now).toList();
         resends.removeAll(due);
         due.forEach(p -> send(p.kind(), p.id(), p.key()));
     }
@@ -181,11 +181,11 @@
         });
     }
 
-    private void provoke() throws IOException {
+    private void injectFault() throws IOException {
         List<Server> all = fleet.servers();
         Server server = all.get(faultRandom.nextInt(all.size()));
-        long length = 500 + faultRandom.nextInt(FAULT_MOST_MILLIS);
-        if (faultRandom.nextInt(10) < CRASHES_IN_TEN) {
+        long length = 500 + faultRandom.nextInt(MAX_FAULT_MILLIS);
+        if (faultRandom.nextInt(10) < CRASHES_PER_TEN_FAULTS) {
             crash(length);
             return;
         }
@@ -193,9 +193,9 @@
         switch (kind) {
             case 0 -> fault("kill", length, () -> destroy(server, true), () -> restart(server));
             case 1 -> fault("pause", length, () -> signal(server, "-STOP"), () -> signal(server, "-CONT"));
-            case 2 -> fault("restart", length + FAULT_MOST_MILLIS, () -> destroy(server, false), () -> restart(server));
-            case 3 -> fault("log outage", length, () -> log("outage=true"), () -> log("outage=false"));
-            default -> fault("log slow", length, () -> log("slow-ms=700"), () -> log("slow-ms=0"));
+            case 2 -> fault("restart", length + MAX_FAULT_MILLIS, () -> destroy(server, false), () -> restart(server));
+            case 3 -> fault("log outage", length, () -> switchLog("outage=true"), () -> switchLog("outage=false"));
+            default -> fault("log slow", length, () -> switchLog("slow-ms=700"), () -> switchLog("slow-ms=0"));
         }
     }
 
@@ -229,11 +229,11 @@
     private void fault(String name, long length, Runnable provoke, Runnable heal) {
         faults.merge(name, 1, Integer::sum);
         provoke.run();
-        cure = () -> {
+        endFault = () -> {
             heal.run();
-            cure = () -> {};
+            endFault = () -> {};
         };
-        cureAt = System.currentTimeMillis() + length;
+        faultEndMillis = System.currentTimeMillis() + length;
     }
 
     private void destroy(Server server, boolean kill) {
@@ -275,13 +275,13 @@
         }
     }
 
-    private void log(String switches) {
+    private void switchLog(String switches) {
         Endpoint log = fleet.log();
         try (BlockingHttpClient client =
                 HttpClients.forSingleAddress(log.host(), log.port()).buildBlocking()) {
             client.request(client.put("/switches?" + switches));
         } catch (Exception e) {
-            violations.add("the log stand-in took no switch: " + e.getMessage());
+            violations.add("the log stand-in did not apply a switch: " + e.getMessage());
         }
     }
 
@@ -319,12 +319,12 @@
     }
 
     /**
-     * A filing to be sent again.
+     * A filing that is due to be resent.
      *
-     * @param kind what it asks for
-     * @param id its id
-     * @param key its key
-     * @param at when, in milliseconds since the epoch
+     * @param kind the kind of request
+     * @param id the request id
+     * @param key the idempotency key
+     * @param atMillis when it is due, in milliseconds since the epoch
      */
-    private record Pending(Workload.RequestKind kind, String id, String key, long at) {}
+    private record Resend(Workload.RequestKind kind, String id, String key, long atMillis) {}
 }
--- a/bench/src/main/java/org/verbenadyke/bench/real/Processes.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Processes.java
@@ -9,25 +9,25 @@
 import java.util.Optional;
 
 /**
- * Reads what the operating system accounts to a process.
+ * Reads the processor time and memory use of a process from the operating system.
  */
 final class Processes {
-    private static final int KB = 1024;
+    private static final int BYTES_PER_KB = 1024;
 
     private Processes() {}
 
-    /** Returns the processor time used so far. */
-    static Duration cpu(Process process) {
+    /** Returns the processor time that a process has used so far. */
+    static Duration cpuTime(Process process) {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Returns the resident memory in bytes, 0 where it can't be read. */
-    static long resident(Process process) {
+    /** Returns the resident memory in bytes, 0 if it can't be read. */
+    static long residentBytes(Process process) {
         return status(process, "VmRSS:").orElse(0L);
     }
 
-    /** Returns the most resident memory so far in bytes, 0 where it can't be read. */
-    static long peak(Process process) {
+    /** Returns the peak resident memory in bytes, 0 if it can't be read. */
+    static long peakBytes(Process process) {
         return status(process, "VmHWM:").orElse(0L);
     }
 
@@ -36,7 +36,7 @@
             List<String> lines = new ArrayList<>(Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")));
             return lines.stream()
                     .filter(l -> l.startsWith(name))
-                    .map(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) * KB)
+                    .map(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) * BYTES_PER_KB)
                     .findFirst();
         } catch (IOException e) {
             return Optional.empty();
--- a/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
@@ -26,15 +26,15 @@
 import io.servicetalk.http.netty.HttpClients;
 
 /**
- * Replaces every server of a fleet under load, one after the other, with planned stops. Callers leave out the entry
- * that is being replaced, as their own balancer would.
+ * Replaces every server of a fleet under load, one after the other, with graceful stops. Callers don't use the entry
+ * node that is being replaced, as with a load balancer of their own.
  */
 public final class Rolling {
     private static final long GAP_MILLIS = 8;
     private static final long DEADLINE_MILLIS = 3_000;
     private static final long SETTLE_MILLIS = 2_500;
-    private static final long STOP_SECONDS = 30;
-    private static final int READY_TRIES = 100;
+    private static final long MAX_STOP_SECONDS = 30;
+    private static final int MAX_READY_TRIES = 100;
     private static final long READY_PAUSE_MILLIS = 100;
 
     private final Workload workload;
@@ -52,11 +52,11 @@
     }
 
     /**
-     * Runs.
+     * Runs the measurement.
      *
-     * @param home the folder of the project
+     * @param home the root folder of the project
      * @param name heatwell or marrowgate
-     * @param seed chooses the requests
+     * @param seed the random seed of the requests
      * @return the figures by name
      * @throws Exception when the processes can't be started
      */
@@ -68,7 +68,7 @@
     }
 
     private Map<String, Object> run() throws Exception {
-        caller = without(null);
+        caller = callerWithout(null);
         for (Server server : fleet.servers()) {
             awaitReady(server);
         }
@@ -93,24 +93,24 @@
     }
 
     private void replace(Server server) throws IOException, InterruptedException {
-        caller = without(server);
+        caller = callerWithout(server);
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         Process upstream = server.upstream().orElseThrow();
         Process node = server.node().orElseThrow();
         upstream.destroy();
-        upstream.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
+        upstream.waitFor(MAX_STOP_SECONDS, TimeUnit.SECONDS);
         node.destroy();
-        node.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
+        node.waitFor(MAX_STOP_SECONDS, TimeUnit.SECONDS);
         fleet.restart(server);
         awaitReady(server);
     }
 
-    /** Waits until a node has its upstream and knows the others, as an operator does by the status. */
+    /** Waits until the node's status shows its upstream, as an operator does, and then for the gossip to settle. */
     private void awaitReady(Server server) throws InterruptedException {
         Endpoint control = server.control();
         try (HttpClient client =
                 HttpClients.forSingleAddress(control.host(), control.port()).build()) {
-            for (int i = 0; i < READY_TRIES; i++) {
+            for (int i = 0; i < MAX_READY_TRIES; i++) {
                 TimeUnit.MILLISECONDS.sleep(READY_PAUSE_MILLIS);
                 if (ready(client)) {
                     break;
@@ -135,7 +135,7 @@
         }
     }
 
-    private Caller without(Server server) {
+    private Caller callerWithout(Server server) {
         List<Endpoint> entries = fleet.servers().stream()
                 .filter(s -> s != server)
                 .map(Server::entry)
