--- a/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
+++ b/bench/src/main/java/org/verbenadyke/bench/decisions/DecisionBenchmarks.java
@@ -40,7 +40,7 @@
 import org.verbenadyke.wire.FrameCodec;
 
 /**
- * Times single decisions, and how they grow with what a node knows.
+ * Measures single decisions, and how their time grows with the number of upstreams that a node knows.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -49,9 +49,9 @@
 @Measurement(iterations = 3, time = 300, timeUnit = TimeUnit.MILLISECONDS)
 @Fork(value = 1, jvmArgsAppend = "-XX:+UseSerialGC")
 public class DecisionBenchmarks {
-    private static final int BODY = 200;
+    private static final int BODY_BYTES = 200;
 
-    /** How many upstreams of how many services the node knows: upstreams per service times services. */
+    /** The size of the routing table, as upstreams per service times services. */
     @Param({"40x1", "40x160", "400x16"})
     private String known;
 
@@ -64,23 +64,23 @@
     private byte[] frame;
     private long sequence;
 
-    /** Fills the tables. */
+    /** Creates the routing table, the admission gate and the encoded call. */
     @Setup
     public void fill() {
         int perService = Integer.parseInt(known.substring(0, known.indexOf('x')));
         int services = Integer.parseInt(known.substring(known.indexOf('x') + 1));
-        Location place = new Location("r", "d");
+        Location location = new Location("r", "d");
         List<Upstream> upstreams = new ArrayList<>();
         for (int s = 0; s < services; s++) {
             for (int u = 0; u < perService; u++) {
-                upstreams.add(new Upstream("s" + s + "-" + u, "s" + s, new Endpoint("10.0.0.1", 1), place));
+                upstreams.add(new Upstream("s" + s + "-" + u, "s" + s, new Endpoint("10.0.0.1", 1), location));
             }
         }
-        router = Router.create("me", place, 12, new TwoChoicesProvider().create(), ThreadLocalRandom::current, true);
+        router = Router.create("me", location, 12, new TwoChoicesProvider().create(), ThreadLocalRandom::current, true);
         router.update(upstreams);
         query = new RouteQuery("s0", "GET /lookup", 300, "", Set.of());
         gate = Gate.of(GateSettings.standard(), FixedLimit.of(100));
-        call = new Admitted();
+        call = new AlwaysAdmitted();
         seen = SeenCalls.startingAt(0);
         message = new Message.Call(
                 new CallId(1, 1),
@@ -93,7 +93,8 @@
                 1,
                 true,
                 "",
-                new Message.Content("GET", "/lookup?id=1", List.of(new HeaderField("accept", "*/*")), new byte[BODY]));
+                new Message.Content(
+                        "GET", "/lookup?id=1", List.of(new HeaderField("accept", "*/*")), new byte[BODY_BYTES]));
         frame = FrameCodec.encode(message);
     }
 
@@ -107,7 +108,7 @@
         return router.route(query, 1);
     }
 
-    /** Admits a call and gives its slot back. */
+    /** Admits a call and releases its slot. */
     @Benchmark
     public void admission() {
         gate.offer(call, 1);
@@ -115,7 +116,7 @@
     }
 
     /**
-     * Mints a budget and takes one retry.
+     * Creates a retry budget and takes one retry.
      *
      * @return whether it was granted
      */
@@ -125,7 +126,7 @@
     }
 
     /**
-     * Claims an attempt's id; the memory is turned over as in a node at 266 calls a second.
+     * Claims an attempt's id. The table of seen ids rotates as often as in a node at 266 calls per second.
      *
      * @return whether it was new
      */
@@ -160,7 +161,7 @@
     /**
      * A call that is always admitted.
      */
-    private static final class Admitted implements WaitingCall {
+    private static final class AlwaysAdmitted implements WaitingCall {
         @Override
         public Importance importance() {
             return Importance.NORMAL;
@@ -183,7 +184,7 @@
 
         @Override
         public void admitted() {
-            // The benchmark gives the slot back.
+            // The benchmark releases the slot.
         }
 
         @Override
--- a/bench/src/main/java/org/verbenadyke/bench/decisions/Decisions.java
+++ b/bench/src/main/java/org/verbenadyke/bench/decisions/Decisions.java
@@ -14,12 +14,12 @@
  * Runs the benchmarks of single decisions.
  */
 public final class Decisions {
-    private static final String ALLOCATED = "gc.alloc.rate.norm";
+    private static final String ALLOCATION_METRIC = "gc.alloc.rate.norm";
 
     private Decisions() {}
 
     /**
-     * Runs.
+     * Runs all benchmarks.
      *
      * @return nanoseconds and bytes allocated per decision, by name
      * @throws RunnerException when the runner fails
@@ -34,7 +34,7 @@
             String name = r.getPrimaryResult().getLabel() + "." + r.getParams().getParam("known");
             figures.put(name + ".ns", Math.round(r.getPrimaryResult().getScore()));
             r.getSecondaryResults().forEach((key, value) -> {
-                if (key.contains(ALLOCATED)) {
+                if (key.contains(ALLOCATION_METRIC)) {
                     figures.put(name + ".bytes", Math.round(value.getScore()));
                 }
             });
