--- a/bench/src/main/java/org/verbenadyke/bench/BenchMain.java
+++ b/bench/src/main/java/org/verbenadyke/bench/BenchMain.java
@@ -16,27 +16,30 @@
 import picocli.CommandLine;
 
 /**
- * Runs the measurements. The last line of each is a JSON object.
+ * Runs one measurement and prints its figures. The last line is a JSON object.
  */
 @CommandLine.Command(
         name = "bench",
         mixinStandardHelpOptions = true,
         version = "bench 0.1.0",
-        description = "Measures one scenario, ours and the baseline in the same run.")
+        description = "Measures one scenario and, if it has one, its baseline in the same run.")
 public final class BenchMain implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int USAGE = 2;
 
-    @CommandLine.Parameters(paramLabel = "NAME", description = "The scenario, or list.")
+    @CommandLine.Parameters(paramLabel = "NAME", description = "The scenario, or list to name them all.")
     private String name;
 
-    @CommandLine.Option(names = "--seed", defaultValue = "1", description = "Makes the run the same each time.")
+    @CommandLine.Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "The random seed; the same seed repeats the run.")
     private long seed;
 
     @CommandLine.Option(names = "--workload", defaultValue = "heatwell", description = "heatwell or marrowgate.")
     private String workload;
 
-    @CommandLine.Option(names = "--io-threads", defaultValue = "1", description = "Threads of a node for connections.")
+    @CommandLine.Option(names = "--io-threads", defaultValue = "1", description = "I/O threads of a node.")
     private int ioThreads;
 
     private BenchMain() {}
@@ -75,16 +78,20 @@
         Map<String, Scenario> all = new LinkedHashMap<>();
         all.put("surge", new Scenario("twice the capacity while the deepest service is slow", Scenarios::surge));
         all.put("deep", new Scenario("chains 3, 5 and 19 deep whose services fail", Scenarios::deep));
-        all.put("silent", new Scenario("connections that carry nothing any more", Scenarios::silent));
+        all.put("silent", new Scenario("connections that silently stop carrying data", Scenarios::silent));
         all.put("kill", new Scenario("filings while nodes are killed, paused and resumed", Scenarios::kill));
-        all.put("drain", new Scenario("how long a leaving upstream gets calls", Scenarios::drain));
+        all.put("drain", new Scenario("how long a draining upstream still receives calls", Scenarios::drain));
         all.put("config", new Scenario("how long a change takes to be in force everywhere", Scenarios::config));
         all.put("outage", new Scenario("goodput through an outage of the log", Scenarios::outage));
-        all.put("overhead", new Scenario("what two nodes add to a call", (w, s) -> Overhead.run(home(), ioThreads)));
-        all.put("download", new Scenario("lookups beside large answers", (w, s) -> Downloads.run(home())));
+        all.put(
+                "overhead",
+                new Scenario("latency that two nodes add to a call", (w, s) -> Overhead.run(home(), ioThreads)));
+        all.put(
+                "download",
+                new Scenario("lookups while large answers share their connections", (w, s) -> Downloads.run(home())));
         all.put("rolling", new Scenario("every server replaced under load", (w, s) -> Rolling.run(home(), w, s)));
         all.put("capacity", new Scenario("how control traffic grows with nodes and events", Scenarios::capacity));
-        all.put("decisions", new Scenario("nanoseconds and bytes of single decisions", (w, s) -> Decisions.run()));
+        all.put("decisions", new Scenario("time and allocated bytes of single decisions", (w, s) -> Decisions.run()));
         return all;
     }
 
@@ -96,11 +103,11 @@
      * One measurement.
      *
      * @param description what it measures
-     * @param work measures
+     * @param work runs the measurement
      */
     private record Scenario(String description, Work work) {}
 
-    /** Measures a workload. */
+    /** Runs a measurement and returns its figures by name. */
     @FunctionalInterface
     private interface Work {
         Map<String, Object> run(String workload, long seed) throws Exception;
--- a/bench/src/main/java/org/verbenadyke/bench/SoakMain.java
+++ b/bench/src/main/java/org/verbenadyke/bench/SoakMain.java
@@ -12,15 +12,15 @@
 import picocli.CommandLine;
 
 /**
- * Runs the randomised runs from the command line.
+ * Starts randomised runs from the command line.
  */
 @CommandLine.Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         version = "soak 0.1.0",
-        description = "Drives random demand and random faults and checks every promise.")
+        description = "Applies random load and random faults and checks every invariant.")
 public final class SoakMain implements Callable<Integer> {
-    private static final int SHOWN_MOST = 20;
+    private static final int MAX_SHOWN_VIOLATIONS = 20;
 
     @CommandLine.Option(names = "--seed", defaultValue = "1", description = "The first seed.")
     private long seed;
@@ -31,10 +31,10 @@
     @CommandLine.Option(names = "--seconds", defaultValue = "120", description = "The length in virtual seconds.")
     private int seconds;
 
-    @CommandLine.Option(names = "--rate", defaultValue = "120", description = "Requests a second.")
+    @CommandLine.Option(names = "--rate", defaultValue = "120", description = "Requests per second.")
     private int rate;
 
-    @CommandLine.Option(names = "--processes", description = "Run real processes with real signals.")
+    @CommandLine.Option(names = "--processes", description = "Use real processes and signals instead of the emulator.")
     private boolean processes;
 
     @CommandLine.Option(names = "--faults", defaultValue = "all", description = "all, keyed or crashes.")
@@ -70,7 +70,9 @@
             if (trace) {
                 report.trace().forEach(System.out::println);
             }
-            report.violations().stream().limit(SHOWN_MOST).forEach(v -> System.out.println("violation: " + v));
+            report.violations().stream()
+                    .limit(MAX_SHOWN_VIOLATIONS)
+                    .forEach(v -> System.out.println("violation: " + v));
             System.out.println("digest " + Long.toHexString(report.digest()));
             System.out.println(report.summary());
             failed += report.violations().isEmpty() ? 0 : 1;
