--- a/bench/src/main/java/org/verbenadyke/bench/lab/ControlTraffic.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/ControlTraffic.java
@@ -32,11 +32,11 @@
 
     private static Map<String, Object> measure(int n, long seed) {
         Lab lab = Lab.create(seed, CoreSettings.with(Policy.standard()), false);
-        List<Location> places = new ArrayList<>();
+        List<Location> locations = new ArrayList<>();
         for (int i = 0; i < DATA_CENTRES; i++) {
-            places.add(new Location("r" + i % 5, "dc-" + i));
+            locations.add(new Location("r" + i % 5, "dc-" + i));
         }
-        lab.add(ServiceSpec.of("s", n, 50, 4, Operation.of("read")), places);
+        lab.add(ServiceSpec.of("s", n, 50, 4, Operation.of("read")), locations);
         lab.startAll();
         lab.advance(WARM_UP_NANOS);
         Map<String, Object> figures = new LinkedHashMap<>();
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
@@ -200,7 +200,7 @@
             return;
         }
         if (!idle) {
-            violations.add("a planned stop of " + s.id() + " did not become idle");
+            violations.add(s.id() + " did not become idle during a graceful stop");
         }
         node.process().run(() -> node.core().leave());
         lab.clock().after(LEAVE_PAUSE_NANOS, () -> {
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CrashingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CrashingFleet.java
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Makes each upstream crash from now on kill the colocated node too, after a delay; the node restarts. */
+    /** From now on, kills the node colocated with a crashed upstream after the given delay; the node restarts. */
     void killNodesOfCrashedUpstreams(long afterNanos) {
         nodeKillDelayNanos = Optional.of(afterNanos);
     }
@@ -139,12 +139,12 @@
         return crashTimesNanos.size();
     }
 
-    /** Returns how often undisturbed nodes forwarded the crashing lookup long enough after its third crash. */
+    /** Returns how often undisturbed nodes sent the crashing lookup on, later than {@link #STABILITY_NANOS} allows. */
     int lateRuns() {
         return lateRuns;
     }
 
-    /** Returns how often any node forwarded the crashing lookup long enough after its third crash. */
+    /** Returns how often any node sent the crashing lookup on, later than {@link #STABILITY_NANOS} allows. */
     int lateRunsAnywhere() {
         return lateRunsAnywhere;
     }
@@ -266,10 +266,10 @@
         private final long firstSentNanos = lab.clock().nanos();
         private int tries;
 
-        private CallerRequest(String path, boolean bad) {
+        private CallerRequest(String path, boolean crashing) {
             this.path = path;
-            this.crashing = bad;
-            lookups += bad ? 0 : 1;
+            this.crashing = crashing;
+            lookups += crashing ? 0 : 1;
         }
 
         void send() {
