--- a/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/FakeLog.java
@@ -93,7 +93,7 @@
             clock.after(TIMEOUT_NANOS, () -> callback.accept(new LogService.AppendResult.Unknown("no answer")));
             return;
         }
-        clock.after(delay(), () -> callback.accept(new LogService.AppendResult.At(offset)));
+        clock.after(delay(), () -> callback.accept(new LogService.AppendResult.Appended(offset)));
     }
 
     private void doRead(String name, long from, long until, Consumer<LogService.ReadResult> callback) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -106,7 +106,7 @@
         upstream.colocateWith(node);
         server.setProcesses(node, upstream, clock.nanos());
         nodeProcess.after(
-                announcedAfterNanos, () -> node.core().announce(server.spec().name(), upstream));
+                announcedAfterNanos, () -> node.core().attachUpstream(server.spec().name(), upstream));
     }
 
     /** Kills a server's node and upstream. */
@@ -129,7 +129,7 @@
         server.setProcesses(server.node(), upstream, clock.nanos());
         server.node()
                 .process()
-                .run(() -> server.node().core().announce(server.spec().name(), upstream));
+                .run(() -> server.node().core().attachUpstream(server.spec().name(), upstream));
     }
 
     void advance(long nanos) {
--- a/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/SoakFaults.java
@@ -175,7 +175,7 @@
         lab.clock().after(length, () -> {
             if (s.node() == node && s.up()) {
                 s.setLeaving(false);
-                node.process().run(() -> node.core().announce(s.spec().name(), s.upstream()));
+                node.process().run(() -> node.core().attachUpstream(s.spec().name(), s.upstream()));
             }
         });
     }
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CallerFleet.java
@@ -59,7 +59,7 @@
         for (LabServer s : lab.servers()) {
             double speed = speeds[at++ % speeds.length];
             FleetUpstream upstream = new FleetUpstream(s.node(), byName, lab.random(), speed);
-            s.node().core().announce(s.spec().name(), upstream, s.spec().slots());
+            s.node().core().attachUpstream(s.spec().name(), upstream, s.spec().slots());
         }
         lab.advance(WARM_UP_NANOS);
         return new CallerFleet(lab);
--- a/bench/src/test/java/org/verbenadyke/bench/lab/CrashingFleet.java
+++ b/bench/src/test/java/org/verbenadyke/bench/lab/CrashingFleet.java
@@ -201,7 +201,7 @@
         }
         CrashingUpstream upstream = new CrashingUpstream(node.process(), lab.random(), new ColocatedHost(server));
         upstreams.put(server, upstream);
-        node.process().run(() -> node.core().announce(server.spec().name(), upstream, SLOTS));
+        node.process().run(() -> node.core().attachUpstream(server.spec().name(), upstream, SLOTS));
     }
 
     private void restart(LabServer server) {
@@ -252,7 +252,7 @@
         public void crashed() {
             crashTimesNanos.add(lab.clock().nanos());
             LabNode node = server.node();
-            lab.clock().after(Lab.MILLI, () -> node.process().run(node.core()::withdraw));
+            lab.clock().after(Lab.MILLI, () -> node.process().run(node.core()::detachUpstream));
             nodeKillDelayNanos.ifPresent(after -> lab.clock().after(after, () -> restart(server)));
             long down = MIN_UPSTREAM_DOWN_NANOS + lab.random().nextLong(Lab.SECOND);
             lab.clock().after(down, () -> startUpstream(server));
--- a/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/config/ConfigStore.java
@@ -153,7 +153,7 @@
                         parts.codec().encode(change),
                         result -> serial.run(() -> {
                             switch (result) {
-                                case LogService.AppendResult.At at ->
+                                case LogService.AppendResult.Appended at ->
                                     parts.counters().count(Event.LOG_APPENDED);
                                 case LogService.AppendResult.Unknown u ->
                                     parts.counters().count(Event.LOG_FAILED);
@@ -237,7 +237,7 @@
                         parts.codec().encode(snapshot),
                         r -> parts.counters()
                                 .count(
-                                        r instanceof LogService.AppendResult.At
+                                        r instanceof LogService.AppendResult.Appended
                                                 ? Event.LOG_APPENDED
                                                 : Event.LOG_FAILED));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/HeldLog.java
@@ -42,7 +42,7 @@
         }
         byte[] bytes = parts.held().encode(held.get());
         parts.log().append(MemberLog.STREAM, held.get().key(), bytes, result -> {
-            boolean done = result instanceof LogService.AppendResult.At;
+            boolean done = result instanceof LogService.AppendResult.Appended;
             parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
             if (!done) {
                 parts.timers().after(AGAIN_NANOS, () -> write(request));
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberDuties.java
@@ -37,7 +37,7 @@
     boolean tailing() {
         MemberRecord me = self.get();
         int rank = MemberRank.of(
-                me.nodeId(), ConfigStore.STREAM, table.present(), r -> r.place().equals(me.place()));
+                me.nodeId(), ConfigStore.STREAM, table.present(), r -> r.location().equals(me.location()));
         return rank < TAILERS;
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/MemberLog.java
@@ -103,7 +103,7 @@
     }
 
     private void appended(LogService.AppendResult result) {
-        boolean done = result instanceof LogService.AppendResult.At;
+        boolean done = result instanceof LogService.AppendResult.Appended;
         parts.counters().count(done ? Event.LOG_APPENDED : Event.LOG_FAILED);
         if (!done) {
             later(AGAIN_NANOS, this::write);
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/NodeCore.java
@@ -114,7 +114,7 @@
      * @param service the service it serves
      * @param port the way to it
      */
-    public void announce(String service, UpstreamPort port) {
+    public void attachUpstream(String service, UpstreamPort port) {
         selfDraining = false;
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
         engine.attach(record.upstreamId(), service, port);
@@ -129,7 +129,7 @@
      * @param port the way to it
      * @param slots how many calls it runs at once
      */
-    public void announce(String service, UpstreamPort port, int slots) {
+    public void attachUpstream(String service, UpstreamPort port, int slots) {
         selfDraining = false;
         gossip.renew();
         MemberRecord record = gossip.change(MemberState.ALIVE, service);
@@ -138,7 +138,7 @@
     }
 
     /** Takes the news that the upstream is gone; the node goes on without one. */
-    public void withdraw() {
+    public void detachUpstream() {
         engine.server().detach();
         gossip.change(selfDraining ? MemberState.DRAINING : MemberState.ALIVE, "");
         refreshing.request();
@@ -268,7 +268,7 @@
         return new EngineParts(
                 parts.self().nodeId(),
                 parts.self().incarnation(),
-                parts.self().place(),
+                parts.self().location(),
                 parts.timers(),
                 parts.transport(),
                 parts.random(),
@@ -343,7 +343,7 @@
 
     /** Goes on under a new id: others may have given the old one's keys to another owner. */
     private void rename(MemberRecord renewed) {
-        upstream().ifPresent(u -> engine.server().attach(u.renamed(renewed.upstreamId())));
+        upstream().ifPresent(u -> engine.server().attach(u.withId(renewed.upstreamId())));
         refreshing.request();
     }
 
@@ -379,7 +379,7 @@
 
         @Override
         public int followedMillis() {
-            return followDuty.ageMillis();
+            return followDuty.followerAgeMillis();
         }
 
         @Override
--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -56,7 +56,7 @@
      *
      * @param gone the start that is over; without a time it is the newest that is known under the id
      */
-    public void left(UpstreamStart gone) {
+    public void shutdownAnnounced(UpstreamStart gone) {
         serial.run(() -> end(gone));
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatch.java
@@ -131,7 +131,7 @@
                 request.idempotent() ? "" : request.key(),
                 dispatcher.avoided(request, tried));
         switch (parts.router().route(query, parts.timers().nanos())) {
-            case Choice.To to -> open(dispatcher.open(this, to.candidate()));
+            case Choice.Selected to -> open(dispatcher.open(this, to.candidate()));
             case Choice.Shed shed -> {
                 request.observer().leadsTo(request.service());
                 refuse(RefusalReason.SHED_EARLY);
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -164,7 +164,7 @@
      *
      * @return milliseconds, at most {@link #NEVER_MILLIS}
      */
-    public int ageMillis() {
+    public int followerAgeMillis() {
         if (setFollowing) {
             return 0;
         }
@@ -174,13 +174,13 @@
 
     private boolean rankedHigh(MemberRecord me) {
         List<MemberRecord> present = table.present();
-        Set<Location> places = new HashSet<>(Set.of(me.place()));
-        present.forEach(r -> places.add(r.place()));
+        Set<Location> places = new HashSet<>(Set.of(me.location()));
+        present.forEach(r -> places.add(r.location()));
         int rank = MemberRank.of(
                 me.nodeId(),
                 READERS,
                 present,
-                r -> r.state() == MemberState.ALIVE && r.place().equals(me.place()));
+                r -> r.state() == MemberState.ALIVE && r.location().equals(me.location()));
         return rank < Math.max(1, settings.readers() / places.size());
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogService.java
@@ -46,7 +46,7 @@
          *
          * @param offset its offset
          */
-        record At(long offset) implements AppendResult {}
+        record Appended(long offset) implements AppendResult {}
 
         /**
          * The record may be on the log or not.
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -114,7 +114,7 @@
      * node looks like a cut, and behind a cut it goes on and owns its keys.
      */
     private boolean sameRegion(MemberRecord other) {
-        return other.place().region().equals(host.self().place().region());
+        return other.location().region().equals(host.self().location().region());
     }
 
     private void giveUp(MemberRecord suspected) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -49,7 +49,7 @@
         this.listener = listener;
         this.table = parts.table();
         this.self = new Self(start, timers);
-        this.peers = new PeerChoice(start.nodeId(), start.place(), parts.random());
+        this.peers = new PeerChoice(start.nodeId(), start.location(), parts.random());
         this.detector = new FailureDetector(timers, settings, serial, table, peers, new Host());
         this.differences = new TableDifferences(start.nodeId(), timers, table, this::send);
         this.hot = new HotNews(table);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberRecord.java
@@ -16,7 +16,7 @@
  * @param state how it fares
  * @param endpoint where it listens for other nodes
  * @param control where it listens for operators
- * @param place where it stands
+ * @param location where it stands
  * @param service the service of the upstream beside it, empty if there is none
  * @param changedMillis when the record was made, in milliseconds since the epoch; tells how long a member is gone
  * @param epoch raised by the node when it was given up and came back, so that its upstream gets a new id
@@ -28,7 +28,7 @@
         MemberState state,
         Endpoint endpoint,
         Endpoint control,
-        Location place,
+        Location location,
         String service,
         long changedMillis,
         int epoch) {
@@ -57,7 +57,7 @@
      */
     public MemberRecord withState(MemberState newState, long nowMillis) {
         return new MemberRecord(
-                nodeId, incarnation, version, newState, endpoint, control, place, service, nowMillis, epoch);
+                nodeId, incarnation, version, newState, endpoint, control, location, service, nowMillis, epoch);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @return the upstream, if there is one
      */
     public Optional<Upstream> upstream() {
-        return service.isEmpty() ? Optional.empty() : Optional.of(new Upstream(upstreamId(), service, endpoint, place));
+        return service.isEmpty() ? Optional.empty() : Optional.of(new Upstream(upstreamId(), service, endpoint, location));
     }
 
     /**
@@ -98,7 +98,7 @@
                 && state == o.state
                 && endpoint.equals(o.endpoint)
                 && control.equals(o.control)
-                && place.equals(o.place)
+                && location.equals(o.location)
                 && service.equals(o.service)
                 && changedMillis == o.changedMillis
                 && epoch == o.epoch;
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
@@ -78,7 +78,7 @@
             }
         }
         table.values().removeIf(e -> !e.counted() && nowNanos - e.since() > keptNanos);
-        departures.values().removeIf(d -> nowNanos - d.since() > keptNanos);
+        departures.values().removeIf(d -> nowNanos - d.learnedNanos() > keptNanos);
     }
 
     /**
@@ -226,9 +226,9 @@
      * @param upstreamId its id
      * @param service the service it served
      * @param planned whether it stopped as planned
-     * @param since when this node learned of it, in nanoseconds
+     * @param learnedNanos when this node learned of it, in nanoseconds
      */
-    public record Departure(String upstreamId, String service, boolean planned, long since) {}
+    public record Departure(String upstreamId, String service, boolean planned, long learnedNanos) {}
 
     /**
      * A member and when its presence changed last.
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerChoice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/PeerChoice.java
@@ -28,7 +28,7 @@
         List<MemberRecord> far = new ArrayList<>();
         for (MemberRecord r : present) {
             if (!r.nodeId().equals(self)) {
-                (r.place().equals(place) ? near : far).add(r);
+                (r.location().equals(place) ? near : far).add(r);
             }
         }
         List<MemberRecord> drawn = new ArrayList<>(count);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Self.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Self.java
@@ -62,7 +62,7 @@
                 state,
                 r.endpoint(),
                 r.control(),
-                r.place(),
+                r.location(),
                 service,
                 timers.wallMillis(),
                 epoch);
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Suspicions.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Suspicions.java
@@ -17,7 +17,7 @@
 
     boolean looksLikeAPartition(MemberRecord suspected) {
         List<MemberRecord> region = table.present().stream()
-                .filter(r -> r.place().region().equals(suspected.place().region()))
+                .filter(r -> r.location().region().equals(suspected.location().region()))
                 .toList();
         long suspects =
                 region.stream().filter(r -> r.state() == MemberState.SUSPECT).count();
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/KeyOwners.java
@@ -74,7 +74,7 @@
         }
         switch (view.of(local, key)) {
             case Ownership.Elsewhere e -> taker.accept(new Outcome.OwnedElsewhere());
-            case Ownership.Uncertain u -> taker.accept(new Outcome.Uncertain());
+            case Ownership.Uncertain u -> taker.accept(new Outcome.InDoubt());
             case Ownership.Owned o ->
                 askAll(o, key, local, certain -> taker.accept(claimed(local, key, fingerprint, certain)));
         }
@@ -84,7 +84,7 @@
         if (certain || local.keys().contains(key)) {
             return new Outcome.Owned(local.keys().claim(key, fingerprint, timers.nanos()));
         }
-        return new Outcome.Uncertain();
+        return new Outcome.InDoubt();
     }
 
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/owner/OwnerView.java
@@ -141,9 +141,9 @@
         for (MemberTable.Departure d : table.departures()) {
             boolean relevant = d.service().equals(service)
                     && !d.upstreamId().equals(me)
-                    && now - d.since() < settings.keyRetentionNanos()
+                    && now - d.learnedNanos() < settings.keyRetentionNanos()
                     && !(d.planned() && handedOn.contains(d.upstreamId()));
-            if (relevant && !madeAfter(key, d.since())) {
+            if (relevant && !madeAfter(key, d.learnedNanos())) {
                 return true;
             }
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -80,7 +80,7 @@
      * @param timers the time
      * @return the quarantine
      */
-    public static Quarantine alone(TimerService timers) {
+    public static Quarantine standalone(TimerService timers) {
         return create(timers, QuarantineSettings.standard(), Counters.create(), DecisionLog.none(), Trials.alone());
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/RequestLimits.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/RequestLimits.java
@@ -3,12 +3,12 @@
 /**
  * What a caller may send, and how long it may take.
  *
- * @param headerBytes the most bytes of a request's head
- * @param bodyBytes the most bytes of a request's body
- * @param headerNanos how long a request's head may take to arrive, in nanoseconds
- * @param idleNanos how long a connection without a request is kept, in nanoseconds
+ * @param maxHeaderBytes the most bytes of a request's head
+ * @param maxBodyBytes the most bytes of a request's body
+ * @param headerTimeoutNanos how long a request's head may take to arrive, in nanoseconds
+ * @param idleTimeoutNanos how long a connection without a request is kept, in nanoseconds
  */
-public record RequestLimits(int headerBytes, long bodyBytes, long headerNanos, long idleNanos) {
+public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutNanos, long idleTimeoutNanos) {
     private static final int HEADER_BYTES = 16 * 1024;
     private static final long BODY_BYTES = 1024L * 1024;
     private static final long HEADER_NANOS = 10_000_000_000L;
--- a/kernel/src/main/java/org/verbenadyke/kernel/route/TrafficSplitter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/route/TrafficSplitter.java
@@ -39,7 +39,7 @@
      * @param route the route
      * @return the service
      */
-    public String next(Route route) {
+    public String nextService(Route route) {
         if (route.shares().size() == 1) {
             return route.shares().get(0).service();
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Choice.java
@@ -9,7 +9,7 @@
      *
      * @param candidate the upstream
      */
-    record To(Candidate candidate) implements Choice {}
+    record Selected(Candidate candidate) implements Choice {}
 
     /**
      * Every upstream, or the path below, would refuse the call.
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Router.java
@@ -142,7 +142,7 @@
         if (sheds && query.rank() < level) {
             return new Choice.Shed(level);
         }
-        return new Choice.To(owner.get());
+        return new Choice.Selected(owner.get());
     }
 
     private Choice amongFit(List<Candidate> fit, RouteQuery query, long now) {
@@ -161,7 +161,7 @@
 
     private Choice chosen(List<Candidate> candidates) {
         return chooser.choose(candidates, random.get())
-                .<Choice>map(Choice.To::new)
+                .<Choice>map(Choice.Selected::new)
                 .orElseGet(Choice.NoCandidate::new);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyClaims.java
@@ -33,7 +33,7 @@
         record OwnedElsewhere() implements Outcome {}
 
         /** An earlier try may have run on a node that is gone. */
-        record Uncertain() implements Outcome {}
+        record InDoubt() implements Outcome {}
     }
 
     /**
@@ -41,7 +41,7 @@
      *
      * @return the claims
      */
-    static KeyClaims alone() {
+    static KeyClaims unshared() {
         return (local, key, fingerprint, taker) ->
                 taker.accept(new Outcome.Owned(local.keys().claim(key, fingerprint, local.now())));
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/KeyedTry.java
@@ -40,7 +40,7 @@
         switch (outcome) {
             case KeyClaims.Outcome.Owned owned -> decided(owned.claim());
             case KeyClaims.Outcome.OwnedElsewhere e -> host.refuseKeyed(server.notRun(RefusalReason.KEY_NOT_OWNER));
-            case KeyClaims.Outcome.Uncertain u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
+            case KeyClaims.Outcome.InDoubt u -> host.refuseKeyed(Refusal.mayHaveRun(RefusalReason.KEY_OWNER_CHANGED));
         }
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/LocalUpstream.java
@@ -50,7 +50,7 @@
      * @param newId the id
      * @return the upstream, with the same gate and keys
      */
-    public LocalUpstream renamed(String newId) {
+    public LocalUpstream withId(String newId) {
         LocalUpstream renamed = new LocalUpstream(newId, service, port, gate, keys, timers);
         renamed.draining = draining;
         return renamed;
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/MemberLogTest.java
@@ -253,7 +253,7 @@
         @Override
         public void append(String stream, String key, byte[] record, Consumer<AppendResult> taker) {
             appends++;
-            taker.accept(new AppendResult.At(0));
+            taker.accept(new AppendResult.Appended(0));
         }
 
         @Override
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamWatchTest.java
@@ -39,7 +39,7 @@
         watch.heartbeat(beat("a", 1, false));
         watch.heartbeat(beat("a", 2, true));
         watch.heartbeat(beat("a", 3, true));
-        watch.left(start("a"));
+        watch.shutdownAnnounced(start("a"));
         watch.heartbeat(beat("a", 4, false));
         assertEquals(List.of("arrived a", "leaving a", "late a"), told);
     }
@@ -47,8 +47,8 @@
     @Test
     void takesAGoodbyeWithoutWarning() {
         watch.heartbeat(beat("a", 1, false));
-        watch.left(start("a"));
-        watch.left(start("other"));
+        watch.shutdownAnnounced(start("a"));
+        watch.shutdownAnnounced(start("other"));
         assertEquals(List.of("arrived a", "leaving a"), told);
     }
 
@@ -108,7 +108,7 @@
     @Test
     void takesALaterStartAfterAGoodbyeUnderTheSameId() {
         watch.heartbeat(beat("a", 100, 7, false));
-        watch.left(start("a"));
+        watch.shutdownAnnounced(start("a"));
         watch.heartbeat(beat("a", 100, 8, false));
         watch.heartbeat(beat("a", 200, 1, false));
         assertEquals(List.of("arrived a@100", "leaving a@100", "late a@100", "arrived a@200"), told);
@@ -117,7 +117,7 @@
     @Test
     void ignoresAGoodbyeOfAnEarlierStart() {
         watch.heartbeat(beat("a", 200, 1, false));
-        watch.left(start("a", 100));
+        watch.shutdownAnnounced(start("a", 100));
         watch.heartbeat(beat("a", 200, 2, false));
         assertEquals(List.of("arrived a@200"), told);
     }
@@ -154,7 +154,7 @@
 
     @Test
     void ignoresForAWhileWhatAnUnknownUpstreamSaidBeforeItsGoodbye() {
-        watch.left(start("a"));
+        watch.shutdownAnnounced(start("a"));
         watch.heartbeat(beat("a", 100, 7, false));
         clock.advance(2 * SILENT);
         watch.heartbeat(beat("a", 100, 8, false));
@@ -164,7 +164,7 @@
 
     @Test
     void takesALaterStartLongAfterAnUnknownUpstreamsGoodbye() {
-        watch.left(start("a"));
+        watch.shutdownAnnounced(start("a"));
         clock.advance(2 * SILENT);
         watch.heartbeat(beat("a", 100, 1, false));
         assertEquals(List.of("arrived a@100"), told);
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/DispatcherTest.java
@@ -56,7 +56,7 @@
                     counters,
                     Ledger.reportingTo(b -> got.add("breach " + b)),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             DispatchSettings.standard());
 
     DispatcherTest() {
--- a/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/dispatch/RefusedThenLostTest.java
@@ -50,7 +50,7 @@
                     Counters.create(),
                     Ledger.disabled(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             DispatchSettings.standard());
 
     @Test
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/EndedUpstreamTest.java
@@ -30,7 +30,7 @@
 
     private final MemoryNet net = new MemoryNet();
     private final VirtualTimerService clock = VirtualTimerService.startingAt(0);
-    private final Quarantine quarantine = Quarantine.alone(clock);
+    private final Quarantine quarantine = Quarantine.standalone(clock);
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final Map<Endpoint, LocalUpstream> locals = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
@@ -195,7 +195,7 @@
 
     /** Returns an entry that has heard of no ends. */
     private Engine unknowing() {
-        Engine late = engine("late", 9, Quarantine.alone(clock));
+        Engine late = engine("late", 9, Quarantine.standalone(clock));
         route(late);
         return late;
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/Engines.java
@@ -31,7 +31,7 @@
                 Ledger.disabled(),
                 DecisionLog.none(),
                 quarantine,
-                KeyClaims.alone(),
+                KeyClaims.unshared(),
                 (link, message) -> {},
                 (link, message) -> {},
                 (link, message) -> {});
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenFilingTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenFilingTest.java
@@ -38,7 +38,7 @@
     private final Map<Endpoint, UpstreamPort.Listener> running = new HashMap<>();
     private final List<Endpoint> runs = new ArrayList<>();
     private final List<String> got = new ArrayList<>();
-    private final Engine entry = Engines.create(net, "entry", 1, entryClock, Quarantine.alone(entryClock));
+    private final Engine entry = Engines.create(net, "entry", 1, entryClock, Quarantine.standalone(entryClock));
 
     ForgottenFilingTest() {
         entryClock.advance(MILLI);
@@ -92,7 +92,7 @@
     }
 
     private void start(Endpoint server, long incarnation) {
-        Engine engine = Engines.create(net, server.host(), incarnation, serverClock, Quarantine.alone(serverClock));
+        Engine engine = Engines.create(net, server.host(), incarnation, serverClock, Quarantine.standalone(serverClock));
         engine.attach(server.host(), "s", (handOver, listener) -> {
             runs.add(server);
             running.put(server, listener);
--- a/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/follow/FollowDutyTest.java
@@ -39,7 +39,7 @@
     @Test
     void tellsNoReaderBeforeOneIsKnown() {
         Fleet fleet = new Fleet(1, 1, new SplittableRandom(1));
-        assertEquals(FollowDuty.NEVER_MILLIS, fleet.nodes.getFirst().duty.ageMillis());
+        assertEquals(FollowDuty.NEVER_MILLIS, fleet.nodes.getFirst().duty.followerAgeMillis());
     }
 
     @Test
@@ -122,8 +122,8 @@
 
         private void tellOne(Node node) {
             Node other = nodes.get(random.nextInt(nodes.size()));
-            int told = node.duty.ageMillis();
-            node.duty.heard(other.duty.ageMillis());
+            int told = node.duty.followerAgeMillis();
+            node.duty.heard(other.duty.followerAgeMillis());
             other.duty.heard(told);
         }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/owner/KeyOwnersTest.java
@@ -56,7 +56,7 @@
     @Test
     void doesNotRunAKeyWhenTheLeavingOwnerHasStartedAnew() {
         claimAsking(upstream(record("b", 2)));
-        assertEquals(new KeyClaims.Outcome.Uncertain(), outcome.get());
+        assertEquals(new KeyClaims.Outcome.InDoubt(), outcome.get());
     }
 
     private void claimAsking(LocalUpstream asked) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/quarantine/QuarantineTest.java
@@ -137,7 +137,7 @@
 
     @Test
     void knowsTheSameAsOthersInWhateverOrderItLearns() {
-        Quarantine other = Quarantine.alone(clock);
+        Quarantine other = Quarantine.standalone(clock);
         quarantine.recordCrash(BAD, "u1");
         quarantine.recordAnswer(BAD);
         endThree();
@@ -169,7 +169,7 @@
         clock.advance(5 * SECOND);
         QuarantinedRequest held = quarantine.record(RequestDigest.of(BAD)).orElseThrow();
         clock.advance(5 * SECOND);
-        Quarantine anew = Quarantine.alone(clock);
+        Quarantine anew = Quarantine.standalone(clock);
         anew.restore(held);
         assertHeld(10, anew.statusAtEntry(BAD));
         quarantine.recordAnswer(BAD);
--- a/kernel/src/test/java/org/verbenadyke/kernel/route/SplitCursorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/route/SplitCursorTest.java
@@ -18,7 +18,7 @@
             TrafficSplitter cursor = TrafficSplitter.startingAt(start);
             int minor = 0;
             for (int n = 1; n <= 1_000; n++) {
-                minor += cursor.next(route).equals("b") ? 1 : 0;
+                minor += cursor.nextService(route).equals("b") ? 1 : 0;
                 assertTrue(Math.abs(minor - n / 10.0) <= MOST_OFF, minor + " of " + n + " from " + start);
             }
         }
@@ -29,7 +29,7 @@
         Route route = split(new ServiceShare("a", 0), new ServiceShare("b", 3), new ServiceShare("c", 0));
         TrafficSplitter cursor = TrafficSplitter.startingAt(-1);
         for (int n = 0; n < 100; n++) {
-            assertEquals("b", cursor.next(route));
+            assertEquals("b", cursor.nextService(route));
         }
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/NearFirstTest.java
@@ -98,7 +98,7 @@
 
         private void send(int sender) {
             Choice choice = senders.get(sender).route(new RouteQuery("s", "", 0, "", Set.of()), now);
-            Candidate to = ((Choice.To) choice).candidate();
+            Candidate to = ((Choice.Selected) choice).candidate();
             int target = to.upstream().id().charAt(1) - '0';
             boolean near = target == sender % CENTRES.size();
             sent++;
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/ServiceLevelsTest.java
@@ -66,10 +66,10 @@
         }
         router.update(upstreams);
         report(router, "front-3", PATH, new Message.DeeperLevel("deep", 0, 0), 1_000);
-        assertInstanceOf(Choice.To.class, route(router, 100, 9_000));
+        assertInstanceOf(Choice.Selected.class, route(router, 100, 9_000));
         report(router, "mid-1", "GET /status", new Message.DeeperLevel("deep", 200, 20), 9_010);
         assertEquals(new Choice.Shed(200), route(router, 100, 9_030));
-        assertInstanceOf(Choice.To.class, route(router, 200, 9_030));
+        assertInstanceOf(Choice.Selected.class, route(router, 200, 9_030));
     }
 
     private void heard(String id, String service, String path, int level, Message.DeeperLevel below, long millis) {
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -65,7 +65,7 @@
 
     private void send(long now, boolean noted) {
         Choice choice = router.route(new RouteQuery("s", "", 0, "", Set.of()), now);
-        Candidate to = ((Choice.To) choice).candidate();
+        Candidate to = ((Choice.Selected) choice).candidate();
         boolean one = to.upstream().id().equals("a");
         boolean trouble = now >= TROUBLE_FROM && now < TROUBLE_TO;
         boolean shed = one && trouble && random.nextDouble() < SHED_SHARE;
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/CallServerTest.java
@@ -48,9 +48,9 @@
                     counters,
                     Ledger.reportingTo(breaches::add),
                     ServiceLevels.empty(),
-                    KeyClaims.alone(),
+                    KeyClaims.unshared(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             ServeSettings.standard());
     private final LocalUpstream local = LocalUpstream.of(
             "u1",
--- a/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/serve/KnownFateTest.java
@@ -41,9 +41,9 @@
                     Counters.create(),
                     Ledger.disabled(),
                     ServiceLevels.empty(),
-                    KeyClaims.alone(),
+                    KeyClaims.unshared(),
                     DecisionLog.none(),
-                    Quarantine.alone(clock)),
+                    Quarantine.standalone(clock)),
             ServeSettings.standard());
     private final LocalUpstream local = LocalUpstream.of(
             "u1",
@@ -84,7 +84,7 @@
     /** As after a pause of the node, which goes on under a new id and finds the call in the old connection's buffer. */
     @Test
     void aRefusalOfACallForTheFormerIdIsToldAgain() {
-        server.attach(local.renamed("u1-renamed"));
+        server.attach(local.withId("u1-renamed"));
         Message.Call refused = call("u1");
         server.received(link, refused);
         server.received(fresh, inquiry(refused));
--- a/node/src/main/java/org/verbenadyke/node/Node.java
+++ b/node/src/main/java/org/verbenadyke/node/Node.java
@@ -85,7 +85,7 @@
                 MemberState.ALIVE,
                 settings.peers(),
                 settings.control(),
-                settings.place(),
+                settings.location(),
                 "",
                 timers.wallMillis(),
                 0);
@@ -117,7 +117,7 @@
     public static Node start(NodeSettings settings) {
         Node node = new Node(settings);
         node.listen();
-        LOG.info("Node {} started in {}.", settings.id(), settings.place().dataCentre());
+        LOG.info("Node {} started in {}.", settings.id(), settings.location().dataCentre());
         return node;
     }
 
--- a/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/ConfigurationService.java
@@ -150,7 +150,7 @@
                 service,
                 records.stream()
                         .map(r -> new ServiceView.Member(
-                                r.nodeId(), r.place().dataCentre(), r.state().accepting()))
+                                r.nodeId(), r.location().dataCentre(), r.state().accepting()))
                         .toList(),
                 load(service))));
         return views;
--- a/node/src/main/java/org/verbenadyke/node/control/LocalService.java
+++ b/node/src/main/java/org/verbenadyke/node/control/LocalService.java
@@ -74,7 +74,7 @@
                     String service = node.path("service").asText();
                     Endpoint address =
                             IniReader.parseEndpoint(node.path("address").asText());
-                    core.announce(service, HttpUpstream.to(address, executor));
+                    core.attachUpstream(service, HttpUpstream.to(address, executor));
                     LOG.info("The upstream announced itself for {}.", service);
                     return responses.noContent();
                 })
--- a/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
+++ b/node/src/main/java/org/verbenadyke/node/control/StatusReport.java
@@ -43,8 +43,8 @@
         Engine engine = core.engine();
         ObjectNode node = JSON.createObjectNode();
         node.put("node", settings.id());
-        node.put("region", settings.place().region());
-        node.put("dataCentre", settings.place().dataCentre());
+        node.put("region", settings.location().region());
+        node.put("dataCentre", settings.location().dataCentre());
         node.put("configurationVersion", engine.configuration().version());
         node.put(
                 "configurationOffset",
@@ -79,7 +79,7 @@
             m.put("service", r.service());
             m.put("address", r.endpoint().toString());
             m.put("control", r.control().toString());
-            m.put("dataCentre", r.place().dataCentre());
+            m.put("dataCentre", r.location().dataCentre());
         }
     }
 
--- a/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/PooledUpstream.java
@@ -72,7 +72,7 @@
 
         @Override
         public void cancel() {
-            dialect.ended(handOver);
+            dialect.onCallEnded(handOver);
             if (call != null) {
                 call.cancel();
             }
@@ -80,7 +80,7 @@
 
         @Override
         public void unreachable() {
-            dialect.ended(handOver);
+            dialect.onCallEnded(handOver);
             listener.unreachable();
         }
 
@@ -117,7 +117,7 @@
 
         @Override
         public void end() {
-            dialect.ended(handOver);
+            dialect.onCallEnded(handOver);
             if (verdict == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
             } else if (verdict == UpstreamDialect.AnswerKind.UNUSABLE) {
@@ -129,7 +129,7 @@
 
         @Override
         public void broken() {
-            dialect.ended(handOver);
+            dialect.onCallEnded(handOver);
             if (verdict == UpstreamDialect.AnswerKind.NOT_RUN) {
                 listener.notRun();
                 return;
@@ -143,7 +143,7 @@
                 broken();
                 return;
             }
-            dialect.ended(handOver);
+            dialect.onCallEnded(handOver);
             pool.presence().explainBreak(listener);
         }
 
--- a/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
+++ b/node/src/main/java/org/verbenadyke/node/http1/UpstreamDialect.java
@@ -48,7 +48,7 @@
      *
      * @param handOver the call
      */
-    void ended(UpstreamPort.HandOver handOver);
+    void onCallEnded(UpstreamPort.HandOver handOver);
 
     /**
      * What an answer says of its call.
--- a/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
+++ b/node/src/main/java/org/verbenadyke/node/log/HttpLog.java
@@ -85,7 +85,7 @@
         if (response.status().code() != OK) {
             return new AppendResult.Failed("status " + response.status().code());
         }
-        return new AppendResult.At(json(response).path("offset").asLong());
+        return new AppendResult.Appended(json(response).path("offset").asLong());
     }
 
     private static AppendResult appendFailure(Throwable failure) {
--- a/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
+++ b/node/src/main/java/org/verbenadyke/node/metrics/MetricsText.java
@@ -65,7 +65,7 @@
      * @param latencies the latencies
      * @return these metrics
      */
-    public MetricsText with(LatencyHistogram latencies) {
+    public MetricsText withLatencies(LatencyHistogram latencies) {
         gauge("request_latency_count", latencies::count);
         for (double percent : PERCENTILES) {
             gauge("request_latency_micros{percentile=\"" + percent + "\"}", () -> latencies.percentileMicros(percent));
--- a/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
+++ b/node/src/main/java/org/verbenadyke/node/settings/NodeSettings.java
@@ -11,7 +11,7 @@
  * The settings of one node, checked.
  *
  * @param id the node's name
- * @param place where it stands
+ * @param location where it stands
  * @param peers where it listens for other nodes
  * @param entry where it listens for callers
  * @param local where it listens for the upstream beside it
@@ -25,7 +25,7 @@
  */
 public record NodeSettings(
         String id,
-        Location place,
+        Location location,
         Endpoint peers,
         Endpoint entry,
         Endpoint local,
--- a/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
+++ b/node/src/test/java/org/verbenadyke/node/ServerEndTest.java
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public void ended(UpstreamPort.HandOver handOver) {
+        public void onCallEnded(UpstreamPort.HandOver handOver) {
             // Nothing is kept of it.
         }
     }
--- a/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
+++ b/wire/src/main/java/org/verbenadyke/wire/MemberCodec.java
@@ -65,7 +65,7 @@
         p.packInt(r.state().ordinal());
         p.packString(r.endpoint().host()).packInt(r.endpoint().port());
         p.packString(r.control().host()).packInt(r.control().port());
-        p.packString(r.place().region()).packString(r.place().dataCentre());
+        p.packString(r.location().region()).packString(r.location().dataCentre());
         p.packString(r.service()).packLong(r.changedMillis()).packInt(r.epoch());
     }
 
