--- a/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/Lab.java
@@ -106,7 +106,8 @@
         upstream.colocateWith(node);
         server.setProcesses(node, upstream, clock.nanos());
         nodeProcess.after(
-                announcedAfterNanos, () -> node.core().attachUpstream(server.spec().name(), upstream));
+                announcedAfterNanos,
+                () -> node.core().attachUpstream(server.spec().name(), upstream));
     }
 
     /** Kills a server's node and upstream. */
