--- a/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/core/UpstreamMonitor.java
@@ -44,10 +44,10 @@
     /**
      * Handles a heartbeat.
      *
-     * @param beat the heartbeat
+     * @param heartbeat the heartbeat
      */
-    public void heartbeat(UpstreamHeartbeat beat) {
-        serial.run(() -> handle(beat));
+    public void heartbeat(UpstreamHeartbeat heartbeat) {
+        serial.run(() -> handle(heartbeat));
     }
 
     /**
@@ -84,44 +84,44 @@
         return Optional.ofNullable(current);
     }
 
-    private void handle(UpstreamHeartbeat beat) {
-        if (late(beat)) {
-            listener.late(beat);
+    private void handle(UpstreamHeartbeat heartbeat) {
+        if (late(heartbeat)) {
+            listener.late(heartbeat);
             return;
         }
-        boolean known = current != null && current.start().equals(beat.start());
+        boolean known = current != null && current.start().equals(heartbeat.start());
         boolean working = present;
         if (current != null && !known) {
             finished.finish(current.start());
         }
         lastHeartbeatNanos = timers.nanos();
-        current = beat;
-        present = !beat.leaving();
+        current = heartbeat;
+        present = !heartbeat.leaving();
         if (present && !(known && working)) {
-            listener.arrived(beat);
+            listener.arrived(heartbeat);
         } else if (working && !present) {
-            listener.leaving(beat);
+            listener.leaving(heartbeat);
         }
     }
 
-    private boolean late(UpstreamHeartbeat beat) {
-        if (finished.covers(beat.start(), timers.nanos())) {
+    private boolean late(UpstreamHeartbeat heartbeat) {
+        if (finished.covers(heartbeat.start(), timers.nanos())) {
             return true;
         }
         if (current == null) {
             return false;
         }
-        if (current.start().equals(beat.start())) {
-            return beat.sequence() <= current.sequence();
+        if (current.start().equals(heartbeat.start())) {
+            return heartbeat.sequence() <= current.sequence();
         }
         // A start under another id that is older, or whose start time is unknown, must wait until the current start is
         // silent. Such a start is accepted then, since the clock of its machine may have been set back.
-        boolean mustYield = beat.id().equals(current.id()) || !silent();
-        return mustYield && (beat.start().startedBefore(current.start()) || omitsStartTime(beat));
+        boolean mustYield = heartbeat.id().equals(current.id()) || !silent();
+        return mustYield && (heartbeat.start().startedBefore(current.start()) || omitsStartTime(heartbeat));
     }
 
-    private boolean omitsStartTime(UpstreamHeartbeat beat) {
-        return beat.start().startedMillis().isEmpty()
+    private boolean omitsStartTime(UpstreamHeartbeat heartbeat) {
+        return heartbeat.start().startedMillis().isEmpty()
                 && current.start().startedMillis().isPresent();
     }
 
@@ -167,37 +167,37 @@
         /**
          * Called when an upstream may get work.
          *
-         * @param beat the heartbeat of the upstream
+         * @param heartbeat the heartbeat of the upstream
          */
-        void arrived(UpstreamHeartbeat beat);
+        void arrived(UpstreamHeartbeat heartbeat);
 
         /**
          * Called when the upstream must get no more work; it finishes its work in progress.
          *
-         * @param beat the newest heartbeat of the upstream
+         * @param heartbeat the newest heartbeat of the upstream
          */
-        void leaving(UpstreamHeartbeat beat);
+        void leaving(UpstreamHeartbeat heartbeat);
 
         /**
          * Called when no heartbeat of the upstream was received for too long.
          *
-         * @param beat the newest heartbeat of the upstream
+         * @param heartbeat the newest heartbeat of the upstream
          * @param silentNanos for how long, in nanoseconds
          */
-        void silent(UpstreamHeartbeat beat, long silentNanos);
+        void silent(UpstreamHeartbeat heartbeat, long silentNanos);
 
         /**
          * Called when nothing listens any more at the address of the upstream.
          *
-         * @param beat the newest heartbeat of the upstream
+         * @param heartbeat the newest heartbeat of the upstream
          */
-        void absent(UpstreamHeartbeat beat);
+        void absent(UpstreamHeartbeat heartbeat);
 
         /**
          * Called when a heartbeat came too late to be accepted.
          *
-         * @param beat the heartbeat
+         * @param heartbeat the heartbeat
          */
-        void late(UpstreamHeartbeat beat);
+        void late(UpstreamHeartbeat heartbeat);
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/core/UpstreamMonitorTest.java
@@ -20,33 +20,33 @@
 
     @Test
     void ignoresAnOlderHeartbeatOfTheSameStart() {
-        monitor.heartbeat(beat("a", 5, false));
-        monitor.heartbeat(beat("a", 4, true));
+        monitor.heartbeat(heartbeat("a", 5, false));
+        monitor.heartbeat(heartbeat("a", 4, true));
         assertEquals(List.of("arrived a", "late a"), events);
     }
 
     @Test
     void ignoresAStartThatWasReplaced() {
-        monitor.heartbeat(beat("a", 5, false));
-        monitor.heartbeat(beat("b", 1, false));
-        monitor.heartbeat(beat("a", 6, false));
+        monitor.heartbeat(heartbeat("a", 5, false));
+        monitor.heartbeat(heartbeat("b", 1, false));
+        monitor.heartbeat(heartbeat("a", 6, false));
         assertEquals(List.of("arrived a", "arrived b", "late a"), events);
         assertEquals("b", monitor.current().orElseThrow().id());
     }
 
     @Test
     void givesALeavingUpstreamNoMoreWork() {
-        monitor.heartbeat(beat("a", 1, false));
-        monitor.heartbeat(beat("a", 2, true));
-        monitor.heartbeat(beat("a", 3, true));
+        monitor.heartbeat(heartbeat("a", 1, false));
+        monitor.heartbeat(heartbeat("a", 2, true));
+        monitor.heartbeat(heartbeat("a", 3, true));
         monitor.shutdownAnnounced(start("a"));
-        monitor.heartbeat(beat("a", 4, false));
+        monitor.heartbeat(heartbeat("a", 4, false));
         assertEquals(List.of("arrived a", "leaving a", "late a"), events);
     }
 
     @Test
     void acceptsAShutdownNoticeWithoutALeavingHeartbeat() {
-        monitor.heartbeat(beat("a", 1, false));
+        monitor.heartbeat(heartbeat("a", 1, false));
         monitor.shutdownAnnounced(start("a"));
         monitor.shutdownAnnounced(start("other"));
         assertEquals(List.of("arrived a", "leaving a"), events);
@@ -54,19 +54,19 @@
 
     @Test
     void reportsSilenceAndReturn() {
-        monitor.heartbeat(beat("a", 1, false));
+        monitor.heartbeat(heartbeat("a", 1, false));
         clock.advance(2 * SILENT_NANOS);
-        monitor.heartbeat(beat("a", 2, false));
+        monitor.heartbeat(heartbeat("a", 2, false));
         assertEquals(List.of("arrived a", "silent a", "arrived a"), events);
     }
 
     @Test
     void givesNoWorkToAnAbsentUpstreamUntilItsNextHeartbeat() {
-        monitor.heartbeat(beat("a", 1, false));
+        monitor.heartbeat(heartbeat("a", 1, false));
         monitor.absent(start("a"));
         monitor.absent(start("a"));
-        monitor.heartbeat(beat("a", 2, false));
-        monitor.heartbeat(beat("b", 1, false));
+        monitor.heartbeat(heartbeat("a", 2, false));
+        monitor.heartbeat(heartbeat("b", 1, false));
         monitor.absent(start("a"));
         clock.advance(SILENT_NANOS / 2);
         assertEquals(List.of("arrived a", "absent a", "arrived a", "arrived b"), events);
@@ -74,91 +74,91 @@
 
     @Test
     void ignoresAnUpstreamThatIsAlreadyLeaving() {
-        monitor.heartbeat(beat("a", 1, true));
+        monitor.heartbeat(heartbeat("a", 1, true));
         clock.advance(2 * SILENT_NANOS);
         assertEquals(List.of(), events);
     }
 
     @Test
     void acceptsALaterStartUnderTheSameIdDespiteItsLowerSequence() {
-        monitor.heartbeat(beat("a", 100, 50, false));
-        monitor.heartbeat(beat("a", 200, 1, false));
-        monitor.heartbeat(beat("a", 200, 2, false));
+        monitor.heartbeat(heartbeat("a", 100, 50, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 200, 2, false));
         assertEquals(List.of("arrived a@100", "arrived a@200"), events);
     }
 
     @Test
     void ignoresAnEarlierStartUnderTheSameIdDespiteItsHigherSequence() {
-        monitor.heartbeat(beat("a", 200, 1, false));
-        monitor.heartbeat(beat("a", 100, 50, true));
-        monitor.heartbeat(beat("a", 100, 51, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 50, true));
+        monitor.heartbeat(heartbeat("a", 100, 51, false));
         clock.advance(2 * SILENT_NANOS);
-        monitor.heartbeat(beat("a", 100, 52, false));
+        monitor.heartbeat(heartbeat("a", 100, 52, false));
         assertEquals(List.of("arrived a@200", "late a@100", "late a@100", "silent a@200", "late a@100"), events);
     }
 
     @Test
     void ordersTheHeartbeatsOfOneStartByTheirSequence() {
-        monitor.heartbeat(beat("a", 100, 5, false));
-        monitor.heartbeat(beat("a", 100, 4, true));
-        monitor.heartbeat(beat("a", 100, 5, true));
+        monitor.heartbeat(heartbeat("a", 100, 5, false));
+        monitor.heartbeat(heartbeat("a", 100, 4, true));
+        monitor.heartbeat(heartbeat("a", 100, 5, true));
         assertEquals(List.of("arrived a@100", "late a@100", "late a@100"), events);
     }
 
     @Test
     void acceptsALaterStartAfterAShutdownNoticeUnderTheSameId() {
-        monitor.heartbeat(beat("a", 100, 7, false));
+        monitor.heartbeat(heartbeat("a", 100, 7, false));
         monitor.shutdownAnnounced(start("a"));
-        monitor.heartbeat(beat("a", 100, 8, false));
-        monitor.heartbeat(beat("a", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 8, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, false));
         assertEquals(List.of("arrived a@100", "leaving a@100", "late a@100", "arrived a@200"), events);
     }
 
     @Test
     void ignoresAShutdownNoticeOfAnEarlierStart() {
-        monitor.heartbeat(beat("a", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, false));
         monitor.shutdownAnnounced(start("a", 100));
-        monitor.heartbeat(beat("a", 200, 2, false));
+        monitor.heartbeat(heartbeat("a", 200, 2, false));
         assertEquals(List.of("arrived a@200"), events);
     }
 
     @Test
     void ignoresAnEarlierStartUnderAnotherIdWhileTheLaterOneSendsHeartbeats() {
-        monitor.heartbeat(beat("b", 200, 1, false));
-        monitor.heartbeat(beat("a", 100, 50, false));
+        monitor.heartbeat(heartbeat("b", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 50, false));
         assertEquals(List.of("arrived b@200", "late a@100"), events);
     }
 
     @Test
     void acceptsAnUpstreamWhoseClockWentBackOnceTheOtherIsSilent() {
-        monitor.heartbeat(beat("b", 200, 1, false));
+        monitor.heartbeat(heartbeat("b", 200, 1, false));
         clock.advance(2 * SILENT_NANOS);
-        monitor.heartbeat(beat("a", 100, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 1, false));
         assertEquals(List.of("arrived b@200", "silent b@200", "arrived a@100"), events);
     }
 
     @Test
     void reportsLeavingWhenTheNextStartLeavesAtOnce() {
-        monitor.heartbeat(beat("a", 100, 1, false));
-        monitor.heartbeat(beat("a", 200, 1, true));
+        monitor.heartbeat(heartbeat("a", 100, 1, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, true));
         assertEquals(List.of("arrived a@100", "leaving a@200"), events);
     }
 
     @Test
     void ignoresAHeartbeatWithoutAStartTimeWhenOtherStartsHaveOne() {
-        monitor.heartbeat(beat("a", 100, 1, false));
-        monitor.heartbeat(beat("a", 9, true));
-        monitor.heartbeat(beat("b", 9, false));
+        monitor.heartbeat(heartbeat("a", 100, 1, false));
+        monitor.heartbeat(heartbeat("a", 9, true));
+        monitor.heartbeat(heartbeat("b", 9, false));
         assertEquals(List.of("arrived a@100", "late a", "late b"), events);
     }
 
     @Test
     void ignoresHeartbeatsOfAnUnknownUpstreamForAWhileAfterItsShutdownNotice() {
         monitor.shutdownAnnounced(start("a"));
-        monitor.heartbeat(beat("a", 100, 7, false));
+        monitor.heartbeat(heartbeat("a", 100, 7, false));
         clock.advance(2 * SILENT_NANOS);
-        monitor.heartbeat(beat("a", 100, 8, false));
-        monitor.heartbeat(beat("a", 200, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 8, false));
+        monitor.heartbeat(heartbeat("a", 200, 1, false));
         assertEquals(List.of("late a@100", "late a@100", "arrived a@200"), events);
     }
 
@@ -166,7 +166,7 @@
     void acceptsALaterStartLongAfterAnUnknownUpstreamsShutdownNotice() {
         monitor.shutdownAnnounced(start("a"));
         clock.advance(2 * SILENT_NANOS);
-        monitor.heartbeat(beat("a", 100, 1, false));
+        monitor.heartbeat(heartbeat("a", 100, 1, false));
         assertEquals(List.of("arrived a@100"), events);
     }
 
@@ -178,48 +178,48 @@
         return new UpstreamStart(id, OptionalLong.of(startedMillis));
     }
 
-    private static UpstreamHeartbeat beat(String id, long sequence, boolean leaving) {
-        return beat(start(id), sequence, leaving);
+    private static UpstreamHeartbeat heartbeat(String id, long sequence, boolean leaving) {
+        return heartbeat(start(id), sequence, leaving);
     }
 
-    private static UpstreamHeartbeat beat(String id, long startedMillis, long sequence, boolean leaving) {
-        return beat(start(id, startedMillis), sequence, leaving);
+    private static UpstreamHeartbeat heartbeat(String id, long startedMillis, long sequence, boolean leaving) {
+        return heartbeat(start(id, startedMillis), sequence, leaving);
     }
 
-    private static UpstreamHeartbeat beat(UpstreamStart start, long sequence, boolean leaving) {
+    private static UpstreamHeartbeat heartbeat(UpstreamStart start, long sequence, boolean leaving) {
         return new UpstreamHeartbeat(start, "s", new Endpoint("127.0.0.1", 80), 4, leaving, 0, sequence);
     }
 
     /** Records the events as text. */
     private final class EventRecorder implements UpstreamMonitor.Listener {
         @Override
-        public void arrived(UpstreamHeartbeat beat) {
-            record("arrived ", beat);
+        public void arrived(UpstreamHeartbeat heartbeat) {
+            record("arrived ", heartbeat);
         }
 
         @Override
-        public void leaving(UpstreamHeartbeat beat) {
-            record("leaving ", beat);
+        public void leaving(UpstreamHeartbeat heartbeat) {
+            record("leaving ", heartbeat);
         }
 
         @Override
-        public void silent(UpstreamHeartbeat beat, long silentNanos) {
-            record("silent ", beat);
+        public void silent(UpstreamHeartbeat heartbeat, long silentNanos) {
+            record("silent ", heartbeat);
         }
 
         @Override
-        public void absent(UpstreamHeartbeat beat) {
-            record("absent ", beat);
+        public void absent(UpstreamHeartbeat heartbeat) {
+            record("absent ", heartbeat);
         }
 
         @Override
-        public void late(UpstreamHeartbeat beat) {
-            record("late ", beat);
+        public void late(UpstreamHeartbeat heartbeat) {
+            record("late ", heartbeat);
         }
 
-        private void record(String what, UpstreamHeartbeat beat) {
-            OptionalLong startedMillis = beat.start().startedMillis();
-            events.add(what + beat.id() + (startedMillis.isPresent() ? "@" + startedMillis.getAsLong() : ""));
+        private void record(String what, UpstreamHeartbeat heartbeat) {
+            OptionalLong startedMillis = heartbeat.start().startedMillis();
+            events.add(what + heartbeat.id() + (startedMillis.isPresent() ? "@" + startedMillis.getAsLong() : ""));
         }
     }
 }
