--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -21,7 +21,7 @@
  * times changes (ten per node at a start, one per node and change, one per node and second while the store rejects it).
  * So only a few nodes of each data centre follow the record, and gossip spreads the age of the newest follower
  * heartbeat: the last time that one of them was known to read. When that heartbeat grows old, a few other nodes at a
- * time stand in, different ones at each turn, until one of them succeeds.
+ * time substitute for the followers, different ones in each turn, until one of them succeeds.
  */
 public final class FollowDuty {
     /** The age reported when no follower was ever known: exceeds every timeout. */
@@ -63,7 +63,7 @@
      * Creates the duty of a node that starts.
      *
      * @param timers the clock
-     * @param settings how many nodes follow, and when others stand in
+     * @param settings how many nodes follow, and when substitutes follow
      * @param self this node's record
      * @param table the members
      * @param routesKnown returns whether this node knows the routes
@@ -104,18 +104,18 @@
      * @return whether this node is designated and has been up for a while
      */
     public boolean isFollower() {
-        return settled() && designated();
+        return membershipStable() && designated();
     }
 
     /**
-     * Returns whether to begin reading now; called several times a second while this node doesn't read. A turn to stand
-     * in is returned once.
+     * Returns whether to begin reading now; called several times a second while this node doesn't read. A turn to
+     * substitute is returned once.
      *
      * @return whether this node should send requests to the store
      */
     public synchronized boolean shouldStart() {
         long now = timers.nanos();
-        if (settled() ? designated() : registered) {
+        if (membershipStable() ? designated() : registered) {
             return true;
         }
         long timeout = routesKnown.getAsBoolean() ? settings.timeoutNanos() : settings.firstTimeoutNanos();
@@ -185,7 +185,7 @@
         return rank < Math.max(1, settings.followers() / locations.size());
     }
 
-    private boolean settled() {
+    private boolean membershipStable() {
         return timers.nanos() - startNanos >= settings.settleNanos();
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
@@ -1,15 +1,15 @@
 package org.verbenadyke.kernel.follow;
 
 /**
- * How many nodes follow the operators' record, and when others stand in.
+ * How many nodes follow the operators' record, and when substitutes for them follow.
  *
  * @param followers how many nodes follow while all is well, spread evenly over the data centres, with at least one in
  *     each
  * @param settleNanos how long a node that has just started leaves the following to others, in nanoseconds
- * @param timeoutNanos how old the newest follower heartbeat may be before others stand in, in nanoseconds
+ * @param timeoutNanos how old the newest follower heartbeat may be before substitutes follow, in nanoseconds
  * @param firstTimeoutNanos the same for a node that knows no routes yet, in nanoseconds
- * @param turnNanos how long stand-ins have before the next ones try, in nanoseconds
- * @param standInsPerTurn how many nodes stand in at a turn
+ * @param turnNanos how long the substitutes of a turn have before the next ones try, in nanoseconds
+ * @param standInsPerTurn how many nodes substitute in a turn
  */
 public record FollowSettings(
         int followers,
@@ -20,7 +20,7 @@
         int standInsPerTurn) {
     private static final long MILLI = 1_000_000L;
 
-    /** With a third of the nodes partitioned, all six are partitioned in 1 of 700 cases; others stand in then. */
+    /** With a third of the nodes partitioned, all six are partitioned in 1 of 700 cases; substitutes follow then. */
     private static final int DEFAULT_FOLLOWERS = 6;
 
     /** Four rounds of gossip, after which a node knows most others. */
@@ -36,12 +36,13 @@
     private static final long DEFAULT_FIRST_TIMEOUT_MILLIS = 500;
 
     /**
-     * Two rounds of gossip, in which the heartbeat of a successful stand-in spreads; the store answers in milliseconds.
+     * Two rounds of gossip, in which the heartbeat of a successful substitute spreads; the store answers in
+     * milliseconds.
      */
     private static final long DEFAULT_TURN_MILLIS = 500;
 
     /** With a third of the nodes rejected by the store, all three fail in 4 of 100 turns. */
-    private static final int DEFAULT_STAND_INS_PER_TURN = 3;
+    private static final int DEFAULT_SUBSTITUTES_PER_TURN = 3;
 
     /**
      * Returns the default settings.
@@ -55,6 +56,6 @@
                 DEFAULT_TIMEOUT_MILLIS * MILLI,
                 DEFAULT_FIRST_TIMEOUT_MILLIS * MILLI,
                 DEFAULT_TURN_MILLIS * MILLI,
-                DEFAULT_STAND_INS_PER_TURN);
+                DEFAULT_SUBSTITUTES_PER_TURN);
     }
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/AllocatorDirectory.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/AllocatorDirectory.java
@@ -36,7 +36,7 @@
      * Returns whether this node knows the members well enough to allocate permits. Nodes that all start at once know
      * only a few others at first, and would together allocate each limit several times over.
      *
-     * @return whether the known members have settled
+     * @return whether the known membership is stable
      */
     boolean settled();
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
@@ -21,21 +21,21 @@
 
     private PermitAllocator(
             TimerService timers,
-            AllocatorDirectory dealers,
+            AllocatorDirectory directory,
             Function<String, Optional<Team>> teams,
             QuotaSettings settings) {
         this.timers = timers;
-        this.directory = dealers;
+        this.directory = directory;
         this.teams = teams;
         this.settings = settings;
     }
 
     static PermitAllocator create(
             TimerService timers,
-            AllocatorDirectory dealers,
+            AllocatorDirectory directory,
             Function<String, Optional<Team>> teams,
             QuotaSettings settings) {
-        return new PermitAllocator(timers, dealers, teams, settings);
+        return new PermitAllocator(timers, directory, teams, settings);
     }
 
     /**
