--- a/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/call/Importance.java
@@ -19,10 +19,10 @@
 
     /**
      * Added to the rank of a request whose caller was refused and retries after a Retry-After, within the band of its
-     * importance. Load pattern: lasting overload, in which a caller that retries when asked to would otherwise be
-     * refused again as likely as a new caller. Less than half a band, so that not all new requests are refused first.
-     * Both kinds scaledBucket over as many ranks as are left, so that a level high in the band refuses nearly all of
-     * either kind.
+     * importance. Load pattern: lasting overload, in which a caller that retries after the requested delay would
+     * otherwise be refused again as likely as a new caller. Less than half a band, so that not
+     * all new requests are refused first. Both kinds spread over as many ranks as are left, so that a level high in the
+     * band refuses nearly all of either kind.
      */
     private static final int RETURNING_CALLER_BOOST = 96;
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/engine/KeyedBudgets.java
@@ -6,7 +6,7 @@
 import org.verbenadyke.kernel.budget.RootBudget;
 
 /**
- * Retry budgets of requests with an idempotency key. A resend by the caller shares the budget of the first try
+ * Retry budgets of requests with an idempotency key. A resend by the caller shares the budget of the first attempt
  * instead of getting a new one.
  */
 final class KeyedBudgets {
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/MemberRank.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/MemberRank.java
@@ -18,7 +18,7 @@
      * @param nodeId the node
      * @param duty the duty for which the members are ranked
      * @param members the members
-     * @param eligible tells which members count
+     * @param eligible whether a member counts
      * @return the node's rank, from 0
      */
     public static int of(
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/FailureDetector.java
@@ -111,7 +111,8 @@
 
     /**
      * Returns whether this node may declare another node dead. Only nodes of the same region may: seen from another
-     * region, a failed node can't be told from a network partition, and a partitioned node goes on and owns its keys.
+     * region, a failed node can't be distinguished from a network partition, and a partitioned node goes on and owns
+     * its keys.
      */
     private boolean sameRegion(MemberRecord other) {
         return other.location().region().equals(host.self().location().region());
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/Gossip.java
@@ -369,7 +369,7 @@
         int followerAgeMillis();
 
         /**
-         * Called with the age of the newest follower heartbeat that another node knows of.
+         * Called with the age of the newest follower heartbeat that another node reports.
          *
          * @param ageMillis the age, in milliseconds
          */
--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/GossipMessage.java
@@ -92,7 +92,7 @@
      * @param configVersion the version of the node's configuration
      * @param planVersion the version of the node's routes, -1 if it has none
      * @param followerAgeMillis the age of the newest known follower heartbeat, in milliseconds
-     * @param crashesFingerprint a hash of the crashes that the node knows of
+     * @param crashesFingerprint a hash of the crashes known to the node
      */
     record Summary(long digest, long configVersion, long planVersion, int followerAgeMillis, long crashesFingerprint) {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/message/Message.java
@@ -239,7 +239,7 @@
     record Inquire(CallId id, long targetIncarnation, long targetClock) implements Message {}
 
     /**
-     * Queries a former owner of a key for its record of the key. A former owner without a record gives up the key for
+     * Queries a former owner of a key for its record of the key. A former owner without a record seals the key for
      * good.
      *
      * @param ticket correlates the reply with the query
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/KeyTable.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /**
- * The idempotency keys of this node. Each key is claimed by one try; later tries get the outcome of that try. A key is
+ * The idempotency keys of this node. Each key is claimed by one attempt; later attempts get its outcome. A key is
  * retained for the retention time after its last change. Thread-safe.
  */
 public final class KeyTable {
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Claims a key for a try.
+     * Claims a key for an attempt.
      *
      * @param key the key
      * @param fingerprint a hash of the request
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Withdraws the claim of a try that is known not to have run, so that the key can be claimed again.
+     * Withdraws the claim of an attempt that is known not to have run, so that the key can be claimed again.
      *
      * @param key the key
-     * @param outcome the outcome reported to tries that wait for the claim
+     * @param outcome the outcome reported to attempts that wait for the claim
      */
     public void withdraw(String key, StoredOutcome outcome) {
         Optional.ofNullable(entries.remove(key)).ifPresent(e -> e.finish(outcome, e.changedNanos));
@@ -76,7 +76,7 @@
      * Settles a claimed key.
      *
      * @param key the key
-     * @param outcome the outcome that all later tries get
+     * @param outcome the outcome that all later attempts get
      * @param nowNanos the time
      */
     public void settle(String key, StoredOutcome outcome, long nowNanos) {
@@ -129,7 +129,7 @@
     }
 
     /**
-     * Removes keys past their retention. Keys whose try is still running stay.
+     * Removes keys past their retention. Keys whose attempt is still running stay.
      *
      * @param nowNanos the time
      */
@@ -159,13 +159,13 @@
      * The result of a claim.
      */
     public sealed interface Claim {
-        /** The key is claimed; the try must settle or withdraw it. */
+        /** The key is claimed; the attempt must settle or withdraw it. */
         record Granted() implements Claim {}
 
         /**
-         * Another try claimed the key.
+         * Another attempt claimed the key.
          *
-         * @param outcome calls its argument back once with the outcome of that try, immediately if it is known
+         * @param outcome calls its argument back once with the outcome of that attempt, immediately if it is known
          */
         record Taken(Consumer<Consumer<StoredOutcome>> outcome) implements Claim {}
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/Ownership.java
@@ -20,6 +20,6 @@
     /** Another node owns the key. */
     record OwnedElsewhere() implements Ownership {}
 
-    /** A former owner is gone, and may have run an earlier try. */
+    /** A former owner is gone, and may have run an earlier attempt. */
     record InDoubt() implements Ownership {}
 }
--- a/kernel/src/main/java/org/verbenadyke/kernel/once/StoredOutcome.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/once/StoredOutcome.java
@@ -7,7 +7,7 @@
 import org.verbenadyke.kernel.call.Refusal;
 
 /**
- * The outcome of a call that may run only once, stored so that later tries of the same call get it too.
+ * The outcome of a call that may run only once, stored so that later attempts of the same call get it too.
  */
 public sealed interface StoredOutcome {
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/Quarantine.java
@@ -71,7 +71,7 @@
      * @param settings when a request is quarantined
      * @param counters counts events
      * @param decisions records decisions to explain later
-     * @param trials tells which upstream may try a quarantined request
+     * @param trials determines which upstream may try a quarantined request
      * @return the quarantine
      */
     public static Quarantine create(
--- a/kernel/src/main/java/org/verbenadyke/kernel/quarantine/TrialSchedule.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quarantine/TrialSchedule.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Tells which upstream of a service may try a quarantined request. At any moment this is one upstream, and all nodes
- * that know the same members agree on it without communicating.
+ * Selects the upstream of a service that may try a quarantined request. At any moment this is one upstream, and all
+ * nodes that know the same members agree on it without communicating.
  */
 public interface TrialSchedule {
     /**
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitBucket.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitBucket.java
@@ -8,7 +8,7 @@
 import org.verbenadyke.kernel.team.RateLimit;
 
 /**
- * The permits of one team, kept by the node that allocates them: a token bucket in which permits leased to nodes still
+ * The permits of one team, held by the node that allocates them: a token bucket in which permits leased to nodes still
  * count against the capacity. So every permit used in a window was in the bucket at the start of that window or was
  * added since, whichever node used it.
  *
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/TeamLimiter.java
@@ -174,7 +174,7 @@
         parts.sender().send(node.get(), request, () -> onAllocation(team, ticket, Optional.empty()));
     }
 
-    /** Handles the answer to a request; empty if the node that was asked does not allocate the team's permits now. */
+    /** Handles the answer to a request; empty if the queried node does not allocate the team's permits now. */
     private void onAllocation(String team, long ticket, Optional<Allocation> allocation) {
         LeasedPermits p = permits.get(team);
         if (p == null) {
@@ -298,7 +298,7 @@
      * @param self the node's name
      * @param timers the clock and timers
      * @param random the source of randomness
-     * @param directory tells which node allocates the permits of each team
+     * @param directory determines which node allocates the permits of each team
      * @param teams finds a team of the plan in force by its name
      * @param sender sends messages to other nodes
      */
--- a/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/serve/CallServer.java
@@ -228,7 +228,7 @@
 
     /**
      * Records that an upstream crashed with a call in flight, and returns the reason for the refusal. A draining
-     * upstream ends as planned, with calls possibly still in flight; its end says nothing about those calls.
+     * upstream stops as planned, with calls possibly still in flight; its shutdown says nothing about those calls.
      */
     RefusalReason recordCrash(Message.Call call, LocalUpstream local) {
         if (local.draining()) {
--- a/kernel/src/main/java/org/verbenadyke/kernel/team/RejectionPolicy.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/team/RejectionPolicy.java
@@ -7,7 +7,7 @@
  * Chooses the refusal for a caller that could not be identified.
  *
  * <p>Load pattern: a key is added while some nodes are cut off from updates. Such a node can't distinguish a new key
- * from a wrong one. If it reported the key as wrong, the caller would give up; so it asks the caller to retry. A
+ * from a wrong one. If it reported the key as wrong, the caller would give up; so the refusal has a Retry-After. A
  * request without a usable key is always refused permanently.
  */
 public final class RejectionPolicy {
--- a/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/trace/Decision.java
@@ -123,7 +123,7 @@
      *
      * @param chain the request that the call belongs to
      * @param upstream the upstream
-     * @param digest the digest of the call; the same for every try and repetition of it
+     * @param digest the digest of the call; the same for every attempt and repetition of it
      */
     record UpstreamCrashed(RequestId chain, String upstream, RequestDigest digest) implements Decision {}
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/ForgottenAttemptTest.java
@@ -21,7 +21,7 @@
  * Tests inquiries about a non-idempotent attempt to a node that no longer knows it.
  *
  * <p>Guards against a request running twice: its node crashes after handing it to the upstream and restarts, and the
- * entry node asks the new process about the attempt. With its empty history that process took the unknown id for one
+ * entry node queries the new process about the attempt. With its empty history that process took the unknown id for one
  * that never arrived, sealed it and answered that it had not run, so that the entry node sent the request to another
  * server. Observed for two requests when seven of seventeen nodes crashed 0.2 to 0.3 seconds after the hand-over and
  * restarted 0.85 seconds later; the second runs began within 0.1 seconds (at 15.491 s and 15.531 s) of the new process
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/UpstreamCrashTest.java
@@ -193,7 +193,7 @@
                         .toList());
     }
 
-    /** Returns an entry node that knows of no crashes. */
+    /** Returns an entry node without known crashes. */
     private Engine uninformedEntry() {
         Engine late = engine("late", 9, Quarantine.standalone(clock));
         route(late);
