--- a/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/StoreStandIn.java
@@ -95,8 +95,8 @@
         topics.values().forEach(KeyedTopic::compact);
     }
 
-    /** Takes a snapshot of all topics for {@link #comeBack}, replacing any earlier snapshot. */
-    public void copy() {
+    /** Takes a snapshot of all topics for {@link #restoreSnapshot}, replacing any earlier snapshot. */
+    public void takeSnapshot() {
         snapshot.clear();
         topics.forEach((name, topic) -> snapshot.put(name, topic.copy()));
     }
@@ -107,7 +107,7 @@
      *
      * @param newEra the identifier of the new history, which all later answers carry
      */
-    public void comeBack(String newEra) {
+    public void restoreSnapshot(String newEra) {
         topics.clear();
         snapshot.forEach((name, topic) -> topics.put(name, topic.copy()));
         era = newEra;
