--- a/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/RehearsalMain.java
@@ -51,7 +51,7 @@
         builder.environment().put("VERBENADYKE_SETTINGS", settings.toString());
         Process node = builder.start();
         try {
-            int served = sendRequests(Client.of(ports), serverEndpoint, server.bornMillis());
+            int served = sendRequests(Client.of(ports), serverEndpoint, server.startedMillis());
             int loadRequests = Integer.getInteger("rehearsal.load", 0);
             if (loadRequests > 0) {
                 LoadGenerator.on(HttpPool.to(ports.entry(), loops, timers, PoolSettings.standard()), loadRequests)
--- a/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/ServerStandIn.java
@@ -82,7 +82,7 @@
      *
      * @return the time in milliseconds since the epoch
      */
-    public long bornMillis() {
+    public long startedMillis() {
         return startedMillis;
     }
 
