--- a/standins/src/main/java/org/verbenadyke/standins/platform/Client.java
+++ b/standins/src/main/java/org/verbenadyke/standins/platform/Client.java
@@ -103,7 +103,7 @@
      * @return the status of the answer
      * @throws IOException if the node aborts the connection
      */
-    public int leave(String id) throws IOException {
+    public int deregister(String id) throws IOException {
         return call(HttpRequest.newBuilder(uri(ports.announcements(), "/-/instances/" + id))
                         .DELETE())
                 .statusCode();
