--- a/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
@@ -103,7 +103,7 @@
             AtomicInteger whole = new AtomicInteger();
             for (Server s : fleet.servers()) {
                 caller.send(workload.requests().getFirst(), "ready", "", DEADLINE_MILLIS, o -> {
-                    if (o instanceof CallerOutcome.Whole) {
+                    if (o instanceof CallerOutcome.Complete) {
                         whole.incrementAndGet();
                     }
                 });
@@ -175,7 +175,7 @@
             answers.merge(label(outcome), 1, Integer::sum);
             if (kind.once()) {
                 filings.get(id).add(outcome);
-            } else if (outcome instanceof CallerOutcome.Lost l && l.why().startsWith("another body")) {
+            } else if (outcome instanceof CallerOutcome.Lost l && l.reason().startsWith("another body")) {
                 answers.merge("WRONG", 1, Integer::sum);
             }
         });
@@ -299,7 +299,7 @@
             if (allNotRun && n > 0) {
                 violations.add("refused as not run but ran: " + id + " " + outcomes);
             }
-            boolean whole = outcomes.stream().anyMatch(CallerOutcome.Whole.class::isInstance);
+            boolean whole = outcomes.stream().anyMatch(CallerOutcome.Complete.class::isInstance);
             if (whole && n == 0) {
                 violations.add("answered but never ran: " + id);
             }
@@ -311,7 +311,7 @@
 
     private static String label(CallerOutcome outcome) {
         return switch (outcome) {
-            case CallerOutcome.Whole w -> "whole";
+            case CallerOutcome.Complete w -> "whole";
             case CallerOutcome.Refused r -> r.runState() + " " + r.reason();
             case CallerOutcome.Failed f -> "failed " + f.status();
             case CallerOutcome.Lost l -> "connection to a killed or paused entry lost";
--- a/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
@@ -162,10 +162,10 @@
 
     private static String label(CallerOutcome outcome) {
         return switch (outcome) {
-            case CallerOutcome.Whole w -> "whole";
+            case CallerOutcome.Complete w -> "whole";
             case CallerOutcome.Refused r -> r.runState() + " " + r.reason();
             case CallerOutcome.Failed f -> "failed " + f.status();
-            case CallerOutcome.Lost l -> "lost: " + l.why();
+            case CallerOutcome.Lost l -> "lost: " + l.reason();
         };
     }
 }
--- a/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/Caller.java
@@ -102,7 +102,7 @@
             return new CallerOutcome.Failed(response.status().code());
         }
         return hasExpectedBody(kind, id, response.payloadBody())
-                ? new CallerOutcome.Whole()
+                ? new CallerOutcome.Complete()
                 : new CallerOutcome.Lost("another body than asked for");
     }
 
--- a/standins/src/main/java/org/verbenadyke/standins/caller/CallerOutcome.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/CallerOutcome.java
@@ -5,7 +5,7 @@
  */
 public sealed interface CallerOutcome {
     /** The complete expected answer. */
-    record Whole() implements CallerOutcome {}
+    record Complete() implements CallerOutcome {}
 
     /**
      * A refusal by the overload control.
@@ -26,7 +26,7 @@
     /**
      * No answer, or an answer with an unexpected body.
      *
-     * @param why what went wrong
+     * @param reason what went wrong
      */
-    record Lost(String why) implements CallerOutcome {}
+    record Lost(String reason) implements CallerOutcome {}
 }
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
@@ -107,7 +107,7 @@
             latch.countDown();
         });
         return latch.await(DEADLINE_MILLIS * 2, TimeUnit.MILLISECONDS)
-                && outcomes.get(0) instanceof CallerOutcome.Whole;
+                && outcomes.get(0) instanceof CallerOutcome.Complete;
     }
 
     private void sendOne(int i, CountDownLatch pending) {
@@ -125,12 +125,12 @@
             nonIdempotentOutcomes.put(id, outcome);
         }
         switch (outcome) {
-            case CallerOutcome.Whole w -> complete.incrementAndGet();
+            case CallerOutcome.Complete w -> complete.incrementAndGet();
             case CallerOutcome.Refused r -> countRefusal(r.runState() + ", " + r.reason());
             case CallerOutcome.Failed f -> countRefusal("status " + f.status());
             case CallerOutcome.Lost l -> {
                 if (lost.incrementAndGet() <= MAX_LOST_PRINTED) {
-                    System.out.println("lost " + id + ": " + l.why());
+                    System.out.println("lost " + id + ": " + l.reason());
                 }
             }
         }
@@ -153,7 +153,7 @@
             }
             boolean notRun =
                     outcome instanceof CallerOutcome.Refused r && r.runState().equals("not-run");
-            if (n > 0 && notRun || n == 0 && outcome instanceof CallerOutcome.Whole) {
+            if (n > 0 && notRun || n == 0 && outcome instanceof CallerOutcome.Complete) {
                 lost.incrementAndGet();
                 System.out.println("reported " + outcome + " but ran " + n + " times: " + id);
             }
