--- a/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
@@ -286,7 +286,7 @@
     }
 
     private void check() throws Exception {
-        Map<String, Integer> runs = EffectsReader.runs(fleet.log());
+        Map<String, Integer> runs = EffectsReader.executionCounts(fleet.log());
         filings.forEach((id, outcomes) -> {
             int n = runs.getOrDefault(id, 0);
             if (n > 1) {
--- a/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
@@ -86,7 +86,7 @@
         figures.put("answers", answers);
         figures.put(
                 "doubled",
-                EffectsReader.runs(fleet.log()).values().stream()
+                EffectsReader.executionCounts(fleet.log()).values().stream()
                         .filter(n -> n > 1)
                         .count());
         return figures;
--- a/standins/src/main/java/org/verbenadyke/standins/caller/EffectsReader.java
+++ b/standins/src/main/java/org/verbenadyke/standins/caller/EffectsReader.java
@@ -28,7 +28,7 @@
      * @return the number of executions by request id
      * @throws Exception if the log can't be read
      */
-    public static Map<String, Integer> runs(Endpoint log) throws Exception {
+    public static Map<String, Integer> executionCounts(Endpoint log) throws Exception {
         Map<String, Integer> runs = new HashMap<>();
         try (BlockingHttpClient client =
                 HttpClients.forSingleAddress(log.host(), log.port()).buildBlocking()) {
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
@@ -144,7 +144,7 @@
     /** Compares the outcome reported for each non-idempotent request with the number of executions. */
     private void verifyExecutions(int unanswered) throws Exception {
         lost.addAndGet(unanswered);
-        Map<String, Integer> runs = EffectsReader.runs(fleet.log());
+        Map<String, Integer> runs = EffectsReader.executionCounts(fleet.log());
         nonIdempotentOutcomes.forEach((id, outcome) -> {
             int n = runs.getOrDefault(id, 0);
             if (n > 1) {
