--- a/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/ProcessSoak.java
@@ -144,7 +144,7 @@
         Workload.RequestKind kind =
                 workload.requests().get(random.nextInt(workload.requests().size()));
         String id = kind.name() + "-" + sent.incrementAndGet();
-        boolean keyed = kind.once() && random.nextDouble() >= UNKEYED_SHARE;
+        boolean keyed = kind.nonIdempotent() && random.nextDouble() >= UNKEYED_SHARE;
         String key = keyed ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
         send(kind, id, key);
         if (keyed && random.nextDouble() < RESEND_SHARE) {
@@ -155,7 +155,7 @@
     /** Sends an extra filing without a key, so that many are in flight when nodes crash. */
     private void sendUnkeyed() {
         workload.requests().stream()
-                .filter(Workload.RequestKind::once)
+                .filter(Workload.RequestKind::nonIdempotent)
                 .findFirst()
                 .ifPresent(k -> send(k, k.name() + "-" + sent.incrementAndGet(), ""));
     }
@@ -167,13 +167,13 @@
     }
 
     private void send(Workload.RequestKind kind, String id, String key) {
-        if (kind.once()) {
+        if (kind.nonIdempotent()) {
             filings.computeIfAbsent(id, i -> new CopyOnWriteArrayList<>());
         }
-        long deadline = kind.once() && key.isEmpty() ? UNKEYED_DEADLINE_MILLIS : DEADLINE_MILLIS;
+        long deadline = kind.nonIdempotent() && key.isEmpty() ? UNKEYED_DEADLINE_MILLIS : DEADLINE_MILLIS;
         caller.send(kind, id, key, deadline, outcome -> {
             answers.merge(label(outcome), 1, Integer::sum);
-            if (kind.once()) {
+            if (kind.nonIdempotent()) {
                 filings.get(id).add(outcome);
             } else if (outcome instanceof CallerOutcome.Lost l && l.reason().startsWith("another body")) {
                 answers.merge("WRONG", 1, Integer::sum);
--- a/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
@@ -149,7 +149,7 @@
                     workload.requests().get(random.nextInt(workload.requests().size()));
             String id = kind.name() + "-" + sent.incrementAndGet();
             String key =
-                    kind.once() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
+                    kind.nonIdempotent() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
             caller.send(kind, id, key, DEADLINE_MILLIS, o -> answers.merge(label(o), 1, Integer::sum));
             try {
                 TimeUnit.MILLISECONDS.sleep(GAP_MILLIS);
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
@@ -56,7 +56,7 @@
             System.out.println("not every node knows every upstream yet; more requests than usual may be refused");
         }
         for (Workload.RequestKind kind : workload.requests()) {
-            if (kind.once()) {
+            if (kind.nonIdempotent()) {
                 continue;
             }
             int streak = 0;
@@ -113,7 +113,7 @@
     private void sendOne(int i, CountDownLatch pending) {
         Workload.RequestKind kind = drawRequestKind();
         String id = kind.name() + "-" + i;
-        String key = kind.once() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
+        String key = kind.nonIdempotent() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
         caller.send(kind, id, key, DEADLINE_MILLIS, outcome -> {
             recordOutcome(kind, id, outcome);
             pending.countDown();
@@ -121,7 +121,7 @@
     }
 
     private void recordOutcome(Workload.RequestKind kind, String id, CallerOutcome outcome) {
-        if (kind.once()) {
+        if (kind.nonIdempotent()) {
             nonIdempotentOutcomes.put(id, outcome);
         }
         switch (outcome) {
--- a/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/Workload.java
@@ -146,7 +146,7 @@
          *
          * @return whether the kind is non-idempotent
          */
-        public boolean once() {
+        public boolean nonIdempotent() {
             return method.equals("POST");
         }
     }
