--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowDuty.java
@@ -131,7 +131,7 @@
         lastTurn = turn;
         int rank = MemberRank.of(
                 self.get().nodeId(), TURN_DUTY_PREFIX + turn, table.present(), r -> r.state() == MemberState.ALIVE);
-        return rank < settings.standInsPerTurn();
+        return rank < settings.substitutesPerTurn();
     }
 
     /** Called when this node is registered on the log: it then reads at once, for the nodes that find it there. */
--- a/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/follow/FollowSettings.java
@@ -9,7 +9,7 @@
  * @param timeoutNanos how old the newest follower heartbeat may be before substitutes follow, in nanoseconds
  * @param firstTimeoutNanos the same for a node that knows no routes yet, in nanoseconds
  * @param turnNanos how long the substitutes of a turn have before the next ones try, in nanoseconds
- * @param standInsPerTurn how many nodes substitute in a turn
+ * @param substitutesPerTurn how many nodes substitute in a turn
  */
 public record FollowSettings(
         int followers,
@@ -17,7 +17,7 @@
         long timeoutNanos,
         long firstTimeoutNanos,
         long turnNanos,
-        int standInsPerTurn) {
+        int substitutesPerTurn) {
     private static final long MILLI = 1_000_000L;
 
     /** With a third of the nodes partitioned, all six are partitioned in 1 of 700 cases; substitutes follow then. */
