--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/AllocatorDirectory.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/AllocatorDirectory.java
@@ -38,7 +38,7 @@
      *
      * @return whether the known membership is stable
      */
-    boolean settled();
+    boolean membershipStable();
 
     /** Called when members joined or left. */
     void membersChanged();
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/PermitAllocator.java
@@ -48,7 +48,7 @@
      */
     Optional<Allocation> allocate(String node, String name, Demand demand) {
         Optional<Team> team = teams.apply(name);
-        if (team.isEmpty() || !directory.isLocal(name) || !directory.settled()) {
+        if (team.isEmpty() || !directory.isLocal(name) || !directory.membershipStable()) {
             return Optional.empty();
         }
         Optional<RateLimit> limit = team.get().limit();
--- a/kernel/src/main/java/org/verbenadyke/kernel/quota/RendezvousAllocatorDirectory.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/quota/RendezvousAllocatorDirectory.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public boolean settled() {
+    public boolean membershipStable() {
         long now = timers.nanos();
         boolean starting = now - startNanos < STARTUP_NANOS;
         return !starting || now - current().sinceNanos() >= QUIET_NANOS;
