--- a/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/membership/MemberTable.java
@@ -71,13 +71,13 @@
         long comparedSince = nowMillis - retentionNanos / NANOS_PER_MILLI / 2;
         for (Entry e : table.values()) {
             if (e.compared() && !e.record().state().present() && e.record().changedMillis() < comparedSince) {
-                Entry uncompared = new Entry(e.record(), e.since(), e.fingerprint(), false);
+                Entry uncompared = new Entry(e.record(), e.sinceNanos(), e.fingerprint(), false);
                 if (table.replace(e.record().nodeId(), e, uncompared)) {
                     toggleDigest(e);
                 }
             }
         }
-        table.values().removeIf(e -> !e.compared() && nowNanos - e.since() > retentionNanos);
+        table.values().removeIf(e -> !e.compared() && nowNanos - e.sinceNanos() > retentionNanos);
         departures.values().removeIf(d -> nowNanos - d.learnedNanos() > retentionNanos);
     }
 
@@ -146,7 +146,7 @@
         int lost = 0;
         for (Entry e : table.values()) {
             boolean suspected = e.record().state() == MemberState.SUSPECT;
-            boolean declaredDead = e.record().state() == MemberState.DEAD && nowNanos - e.since() < withinNanos;
+            boolean declaredDead = e.record().state() == MemberState.DEAD && nowNanos - e.sinceNanos() < withinNanos;
             lost += suspected || declaredDead ? 1 : 0;
         }
         return lost;
@@ -238,17 +238,17 @@
      * A member, and when it last joined or left.
      *
      * @param record the record
-     * @param since when this node learned that the member joined or left, in nanoseconds
+     * @param sinceNanos when this node learned that the member joined or left, in nanoseconds
      * @param fingerprint the record's hash
      * @param compared whether the digests cover it
      */
-    public record Entry(MemberRecord record, long since, long fingerprint, boolean compared) {
+    public record Entry(MemberRecord record, long sinceNanos, long fingerprint, boolean compared) {
         static Entry after(Entry known, MemberRecord record, long now) {
             boolean same = known != null
                     && known.record().incarnation() == record.incarnation()
                     && known.record().epoch() == record.epoch()
                     && known.record().state().present() == record.state().present();
-            return new Entry(record, same ? known.since() : now, record.fingerprint(), true);
+            return new Entry(record, same ? known.sinceNanos() : now, record.fingerprint(), true);
         }
     }
 }
