--- a/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/log/LogEpoch.java
@@ -26,7 +26,7 @@
      *
      * @return the instance
      */
-    public static LogEpoch unknown() {
+    public static LogEpoch create() {
         return new LogEpoch();
     }
 
@@ -55,7 +55,7 @@
      * @param named the epoch that the answer names
      * @return whether the answer may be used
      */
-    public Verdict answered(long requested, long named) {
+    public Verdict checkAnswer(long requested, long named) {
         long before;
         synchronized (this) {
             before = current;
--- a/kernel/src/test/java/org/verbenadyke/kernel/log/LogEpochTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/log/LogEpochTest.java
@@ -9,7 +9,7 @@
 
 /** Tests {@link LogEpoch}. */
 final class LogEpochTest {
-    private final LogEpoch epoch = LogEpoch.unknown();
+    private final LogEpoch epoch = LogEpoch.create();
     private final List<String> replacements = new ArrayList<>();
 
     LogEpochTest() {
@@ -18,53 +18,53 @@
 
     @Test
     void acceptsTheFirstEpoch() {
-        assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(LogEpoch.UNNAMED, 7));
+        assertEquals(LogEpoch.Verdict.CURRENT, epoch.checkAnswer(LogEpoch.UNNAMED, 7));
         assertEquals(7, epoch.current());
         assertEquals(List.of(), replacements);
     }
 
     @Test
     void reportsEachReplacementOnce() {
-        epoch.answered(0, 7);
-        assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(7, 8));
-        assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(7, 8));
-        assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(8, 9));
+        epoch.checkAnswer(0, 7);
+        assertEquals(LogEpoch.Verdict.REPLACED, epoch.checkAnswer(7, 8));
+        assertEquals(LogEpoch.Verdict.CURRENT, epoch.checkAnswer(7, 8));
+        assertEquals(LogEpoch.Verdict.REPLACED, epoch.checkAnswer(8, 9));
         assertEquals(List.of("7 to 8", "8 to 9"), replacements);
     }
 
     @Test
     void rejectsALateAnswerOfThePreviousHistory() {
-        epoch.answered(0, 7);
-        epoch.answered(7, 8);
-        assertEquals(LogEpoch.Verdict.OUTDATED, epoch.answered(7, 7));
+        epoch.checkAnswer(0, 7);
+        epoch.checkAnswer(7, 8);
+        assertEquals(LogEpoch.Verdict.OUTDATED, epoch.checkAnswer(7, 7));
         assertEquals(8, epoch.current());
     }
 
     @Test
     void treatsAnEpochThatGoesBackwardsAsANewHistory() {
-        epoch.answered(0, 7);
-        assertEquals(LogEpoch.Verdict.BACKWARDS, epoch.answered(7, 3));
+        epoch.checkAnswer(0, 7);
+        assertEquals(LogEpoch.Verdict.BACKWARDS, epoch.checkAnswer(7, 3));
         assertEquals(3, epoch.current());
         assertEquals(List.of("7 to 3"), replacements);
     }
 
     @Test
     void ignoresAnswersWithoutAnEpoch() {
-        epoch.answered(0, 7);
-        assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(7, LogEpoch.UNNAMED));
+        epoch.checkAnswer(0, 7);
+        assertEquals(LogEpoch.Verdict.CURRENT, epoch.checkAnswer(7, LogEpoch.UNNAMED));
         assertEquals(7, epoch.current());
     }
 
     @Test
     void reportsTheFirstEpochOfALogThatNamedNoneBefore() {
-        epoch.answered(0, LogEpoch.UNNAMED);
-        assertEquals(LogEpoch.Verdict.REPLACED, epoch.answered(0, 1));
+        epoch.checkAnswer(0, LogEpoch.UNNAMED);
+        assertEquals(LogEpoch.Verdict.REPLACED, epoch.checkAnswer(0, 1));
     }
 
     @Test
     void supportsALogWithoutEpochs() {
-        assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(0, LogEpoch.UNNAMED));
-        assertEquals(LogEpoch.Verdict.CURRENT, epoch.answered(0, LogEpoch.UNNAMED));
+        assertEquals(LogEpoch.Verdict.CURRENT, epoch.checkAnswer(0, LogEpoch.UNNAMED));
+        assertEquals(LogEpoch.Verdict.CURRENT, epoch.checkAnswer(0, LogEpoch.UNNAMED));
         assertEquals(List.of(), replacements);
     }
 }
