--- a/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/dispatch/Dispatcher.java
@@ -131,7 +131,7 @@
 
     void close(Attempt attempt) {
         if (attempts.remove(attempt.id()) != null) {
-            attempt.candidate().ended();
+            attempt.candidate().recordCallEnd();
             attempt.unbind();
         }
     }
--- a/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/routing/Candidate.java
@@ -105,7 +105,7 @@
     }
 
     /** Records that a sent call has ended, with any outcome. */
-    public void ended() {
+    public void recordCallEnd() {
         inFlight.decrementAndGet();
     }
 
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/LocalityPreferenceTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/LocalityPreferenceTest.java
@@ -148,7 +148,7 @@
             }
 
             private void arrive(Call call, Message.Report report) {
-                call.to().ended();
+                call.to().recordCallEnd();
                 call.to().reported("", report, now);
                 call.to().succeeded(now - call.begun());
                 totalLatencyNanos += now - call.begun();
--- a/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/routing/SheddingUpstreamTest.java
@@ -78,7 +78,7 @@
             answers.add(new Answer(now + SERVICE_NANOS, to));
             return;
         }
-        to.ended();
+        to.recordCallEnd();
         to.reported("", new Message.Report(0, SLOTS, 0, 0, false, Message.DeeperLevel.NONE), now);
         if (recordSheds) {
             to.shed(now);
@@ -93,7 +93,7 @@
      */
     private record Answer(long atNanos, Candidate from) {
         void arrive() {
-            from.ended();
+            from.recordCallEnd();
             from.reported("", new Message.Report(SLOTS / 4, SLOTS, 0, 0, false, Message.DeeperLevel.NONE), atNanos);
             from.succeeded(SERVICE_NANOS);
         }
