--- a/bench/src/main/java/org/verbenadyke/bench/lab/VirtualNet.java
+++ b/bench/src/main/java/org/verbenadyke/bench/lab/VirtualNet.java
@@ -111,13 +111,13 @@
     private void connect(Endpoint from, Endpoint to, Transport.Handler opener) {
         ProcessTimers process = hosts.get(from).process();
         if (partitioned.test(from, to)) {
-            clock.after(CONNECT_TIMEOUT_NANOS, () -> process.run(opener::ended));
+            clock.after(CONNECT_TIMEOUT_NANOS, () -> process.run(opener::connectionClosed));
             return;
         }
         clock.after(2 * latency.sampleNanos(from, to), () -> {
             Host host = hosts.get(to);
             if (host == null) {
-                process.run(opener::ended);
+                process.run(opener::connectionClosed);
                 return;
             }
             Connection c = new Connection(from, to, process, host.process());
@@ -216,9 +216,9 @@
             open = false;
             boolean wasSilent = silent;
             clock.after(latency.sampleNanos(from, to), () -> {
-                openerProcess.run(opener::ended);
+                openerProcess.run(opener::connectionClosed);
                 if (!wasSilent) {
-                    acceptorProcess.run(acceptor::ended);
+                    acceptorProcess.run(acceptor::connectionClosed);
                 }
             });
         }
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/LinkSession.java
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void ended() {
+    public void connectionClosed() {
         end(false);
     }
 
--- a/kernel/src/main/java/org/verbenadyke/kernel/link/Transport.java
+++ b/kernel/src/main/java/org/verbenadyke/kernel/link/Transport.java
@@ -35,6 +35,6 @@
         void received(Message message);
 
         /** Called exactly once, when the connection has closed or could not be opened. */
-        void ended();
+        void connectionClosed();
     }
 }
--- a/kernel/src/test/java/org/verbenadyke/kernel/engine/MemoryNet.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/engine/MemoryNet.java
@@ -35,7 +35,7 @@
         listening.remove(endpoint);
         pipes.stream().filter(p -> p.endpoint.equals(endpoint)).forEach(p -> {
             p.cut = true;
-            deliverToClient(p.client::ended);
+            deliverToClient(p.client::connectionClosed);
         });
         pipes.removeIf(p -> p.endpoint.equals(endpoint));
     }
@@ -69,7 +69,7 @@
     private void connect(Endpoint endpoint, Transport.Handler client) {
         Supplier<Transport.Handler> accept = listening.get(endpoint);
         if (accept == null) {
-            client.ended();
+            client.connectionClosed();
             return;
         }
         Pipe pipe = new Pipe(endpoint, client, accept.get());
@@ -151,8 +151,8 @@
         private void close() {
             if (!cut) {
                 cut = true;
-                deliverToClient(client::ended);
-                later(server::ended);
+                deliverToClient(client::connectionClosed);
+                later(server::connectionClosed);
             }
         }
     }
--- a/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
+++ b/kernel/src/test/java/org/verbenadyke/kernel/link/LinkPoolTest.java
@@ -126,7 +126,7 @@
 
         @Override
         public void close() {
-            handler.ended();
+            handler.connectionClosed();
         }
     }
 
--- a/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/NettyTransport.java
@@ -74,7 +74,7 @@
                 .connect(endpoint.host(), endpoint.port())
                 .addListener(future -> {
                     if (!future.isSuccess()) {
-                        handler.ended();
+                        handler.connectionClosed();
                     }
                 });
     }
--- a/node/src/main/java/org/verbenadyke/node/transport/PeerHandler.java
+++ b/node/src/main/java/org/verbenadyke/node/transport/PeerHandler.java
@@ -37,7 +37,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        handler.ended();
+        handler.connectionClosed();
     }
 
     @Override
