--- a/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
+++ b/bench/src/main/java/org/verbenadyke/bench/real/Rolling.java
@@ -148,8 +148,9 @@
             Workload.RequestKind kind =
                     workload.requests().get(random.nextInt(workload.requests().size()));
             String id = kind.name() + "-" + sent.incrementAndGet();
-            String key =
-                    kind.nonIdempotent() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
+            String key = kind.nonIdempotent()
+                    ? UuidV7.at(System.currentTimeMillis(), random).toString()
+                    : "";
             caller.send(kind, id, key, DEADLINE_MILLIS, o -> answers.merge(label(o), 1, Integer::sum));
             try {
                 TimeUnit.MILLISECONDS.sleep(GAP_MILLIS);
--- a/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
+++ b/standins/src/main/java/org/verbenadyke/standins/run/QuickstartRun.java
@@ -113,7 +113,9 @@
     private void sendOne(int i, CountDownLatch pending) {
         Workload.RequestKind kind = drawRequestKind();
         String id = kind.name() + "-" + i;
-        String key = kind.nonIdempotent() ? UuidV7.at(System.currentTimeMillis(), random).toString() : "";
+        String key = kind.nonIdempotent()
+                ? UuidV7.at(System.currentTimeMillis(), random).toString()
+                : "";
         caller.send(kind, id, key, DEADLINE_MILLIS, outcome -> {
             recordOutcome(kind, id, outcome);
             pending.countDown();
